--- a/cli/cometspindled/main.c
+++ b/cli/cometspindled/main.c
@@ -65,7 +65,7 @@
 {
 	GError *error = NULL;
 	struct comet_gateway *gateway =
-		comet_gateway_create(settings, path, &comet_platform_port, &error);
+		comet_gateway_create(settings, path, &comet_platform_gateway_adapter, &error);
 
 	if (gateway == NULL)
 	{
--- a/cli/spindlectl/bundle.c
+++ b/cli/spindlectl/bundle.c
@@ -5,7 +5,7 @@
 #include "spindlectl.h"
 
 #include <libcometspindle/bundle.h>
-#include <libcometspindle/check.h>
+#include <libcometspindle/json_validator.h>
 #include <libcometspindle/error.h>
 #include <libcometspindle/settings.h>
 #include <libcometspindle/sign.h>
@@ -272,7 +272,8 @@
 	const char *start = text;
 	if (g_str_has_prefix(text, "comet-bundle-1 ") && strchr(text, '\n') != NULL)
 		start = strchr(text, '\n') + 1;
-	struct json_object *root = comet_check_parse(start, length - (gsize)(start - text), error);
+	struct json_object *root =
+		comet_json_validator_parse(start, length - (gsize)(start - text), error);
 	g_free(text);
 	return root;
 }
--- a/libcometspindle/adapters/callers/http_loop.c
+++ b/libcometspindle/adapters/callers/http_loop.c
@@ -179,7 +179,7 @@
 }
 
 enum MHD_Result
-comet_http_answer(struct MHD_Connection *connection, unsigned int status, const char *type,
+comet_http_respond(struct MHD_Connection *connection, unsigned int status, const char *type,
 	const char *body, size_t length)
 {
 	struct MHD_Response *response = MHD_create_response_from_buffer(
--- a/libcometspindle/adapters/callers/http_loop.h
+++ b/libcometspindle/adapters/callers/http_loop.h
@@ -46,7 +46,7 @@
 
 /** Queues a small answer; the body is copied. */
 enum MHD_Result
-comet_http_answer(struct MHD_Connection *connection, unsigned int status, const char *type,
+comet_http_respond(struct MHD_Connection *connection, unsigned int status, const char *type,
 	const char *body, size_t length);
 
 #endif
--- a/libcometspindle/adapters/callers/front.c
+++ b/libcometspindle/adapters/callers/http_server.c
@@ -1,8 +1,8 @@
 /*
- * front.c
+ * http_server.c
  * the caller side: an HTTP/1.1 server that hands over whole requests
  */
-#include <libcometspindle/adapters/callers/front.h>
+#include <libcometspindle/adapters/callers/http_server.h>
 
 #include <errno.h>
 #include <libcometspindle/adapters/socket.h>
@@ -43,17 +43,17 @@
 	CONNECTION_LINGERING, /* it is written: reading to the caller's end */
 };
 
-struct comet_front
+struct comet_http_server
 {
 	struct tevent_context *ev;
 	struct comet_timers *timers;
 	struct tevent_fd *listener;
 	struct comet_timer *accept_again;
-	const struct comet_front_events *events;
+	const struct comet_http_server_events *events;
 	void *ctx;
 	struct comet_http_limits limits;
-	struct comet_front_counts counts;
-	struct comet_bytes *bytes; /* of connections; NULL: not counted */
+	struct comet_http_server_counts counts;
+	struct comet_byte_counters *bytes; /* of connections; NULL: not counted */
 	GHashTable *connections;
 	int fd;
 	bool closing;
@@ -61,8 +61,8 @@
 
 struct connection
 {
-	struct comet_front_request request; /* first member: a request is its connection */
-	struct comet_front *front;
+	struct comet_http_server_request request; /* first member: a request is its connection */
+	struct comet_http_server *front;
 	struct comet_socket *socket;
 	struct comet_http_reader *reader;
 	struct comet_timer *timer;
@@ -85,7 +85,7 @@
 read_on(struct connection *connection);
 
 static struct connection *
-connection_of(const struct comet_front_request *request)
+connection_of(const struct comet_http_server_request *request)
 {
 	return (struct connection *)request;
 }
@@ -186,7 +186,7 @@
 	connection->timer = NULL;
 	/* After this process was stopped, timers come before the requests that arrived meanwhile.
 	 */
-	if (is_read(connection) && comet_socket_has_news(connection->socket))
+	if (is_read(connection) && comet_socket_has_pending_events(connection->socket))
 	{
 		set_timer(connection, connection->front->limits.header_timeout_ms);
 		return;
@@ -194,7 +194,7 @@
 	if (connection->got_byte && !connection->complete)
 	{
 		connection->keep_alive = false;
-		comet_front_answer(&connection->request, 408, NULL, "", 0);
+		comet_http_server_respond(&connection->request, 408, NULL, "", 0);
 		return;
 	}
 	end_connection(connection);
@@ -253,13 +253,13 @@
 	connection->front->counts.malformed++;
 	connection->keep_alive = false;
 	connection->state = CONNECTION_OPEN;
-	comet_front_answer(&connection->request, status, NULL, "", 0);
+	comet_http_server_respond(&connection->request, status, NULL, "", 0);
 }
 
 static void
 hand_over(struct connection *connection)
 {
-	struct comet_front *front = connection->front;
+	struct comet_http_server *front = connection->front;
 
 	comet_timer_cancel(&connection->timer);
 	connection->state = CONNECTION_OPEN;
@@ -333,7 +333,7 @@
 on_closed(void *ctx, bool orderly)
 {
 	struct connection *connection = ctx;
-	struct comet_front *front = connection->front;
+	struct comet_http_server *front = connection->front;
 
 	(void)orderly;
 	if (connection->state == CONNECTION_OPEN)
@@ -348,7 +348,7 @@
 on_drained(void *ctx)
 {
 	struct connection *connection = ctx;
-	struct comet_front *front = connection->front;
+	struct comet_http_server *front = connection->front;
 
 	if (connection->state == CONNECTION_OPEN && front->events->drained != NULL)
 		front->events->drained(front->ctx, &connection->request);
@@ -362,7 +362,7 @@
 	.data = on_data, .closed = on_closed, .drained = on_drained};
 
 static void
-take_connection(struct comet_front *front, int fd)
+take_connection(struct comet_http_server *front, int fd)
 {
 	struct connection *connection = talloc_zero(front, struct connection);
 
@@ -384,7 +384,7 @@
 static void
 on_accept_again(void *ctx)
 {
-	struct comet_front *front = ctx;
+	struct comet_http_server *front = ctx;
 
 	front->accept_again = NULL;
 	if (front->listener != NULL)
@@ -394,7 +394,7 @@
 static void
 on_acceptable(struct tevent_context *ev, struct tevent_fd *event, uint16_t flags, void *data)
 {
-	struct comet_front *front = data;
+	struct comet_http_server *front = data;
 
 	(void)ev;
 	(void)flags;
@@ -419,7 +419,7 @@
 }
 
 static int
-front_destroy(struct comet_front *front)
+front_destroy(struct comet_http_server *front)
 {
 	GList *all = g_hash_table_get_keys(front->connections);
 
@@ -427,13 +427,14 @@
 		talloc_free(at->data); /* takes itself out of the table */
 	g_list_free(all);
 	g_hash_table_destroy(front->connections);
-	comet_front_stop_listening(front);
+	comet_http_server_stop_listening(front);
 	return 0;
 }
 
-struct comet_front *
-comet_front_create(void *parent, struct tevent_context *ev, struct comet_timers *timers,
-	const char *address, const struct comet_front_events *events, void *ctx, GError **error)
+struct comet_http_server *
+comet_http_server_create(void *parent, struct tevent_context *ev, struct comet_timers *timers,
+	const char *address, const struct comet_http_server_events *events, void *ctx,
+	GError **error)
 {
 	struct sockaddr_in at;
 
@@ -450,7 +451,7 @@
 			g_strerror(errno));
 		return NULL;
 	}
-	struct comet_front *front = talloc_zero(parent, struct comet_front);
+	struct comet_http_server *front = talloc_zero(parent, struct comet_http_server);
 	front->ev = ev;
 	front->timers = timers;
 	front->events = events;
@@ -463,13 +464,15 @@
 }
 
 void
-comet_front_count(struct comet_front *front, struct comet_bytes *bytes)
+comet_http_server_set_byte_counters(
+	struct comet_http_server *front, struct comet_byte_counters *bytes)
 {
 	front->bytes = bytes;
 }
 
 void
-comet_front_set_limits(struct comet_front *front, const struct comet_http_limits *limits)
+comet_http_server_set_limits(
+	struct comet_http_server *front, const struct comet_http_limits *limits)
 {
 	GHashTableIter at;
 	gpointer connection = NULL;
@@ -482,13 +485,13 @@
 }
 
 void
-comet_front_set_closing(struct comet_front *front)
+comet_http_server_set_draining(struct comet_http_server *front)
 {
 	front->closing = true;
 }
 
 void
-comet_front_stop_listening(struct comet_front *front)
+comet_http_server_stop_listening(struct comet_http_server *front)
 {
 	if (front->listener == NULL)
 		return;
@@ -498,7 +501,7 @@
 }
 
 void
-comet_front_close_idle(struct comet_front *front)
+comet_http_server_close_idle(struct comet_http_server *front)
 {
 	GList *all = g_hash_table_get_keys(front->connections);
 
@@ -511,14 +514,14 @@
 	g_list_free(all);
 }
 
-const struct comet_front_counts *
-comet_front_counts(const struct comet_front *front)
+const struct comet_http_server_counts *
+comet_http_server_counts(const struct comet_http_server *front)
 {
 	return &front->counts;
 }
 
 size_t
-comet_front_unsent(const struct comet_front *front)
+comet_http_server_unsent_bytes(const struct comet_http_server *front)
 {
 	GHashTableIter at;
 	gpointer connection = NULL;
@@ -531,14 +534,14 @@
 }
 
 void
-comet_front_end_connection(struct comet_front_request *request)
+comet_http_server_close_after_response(struct comet_http_server_request *request)
 {
 	connection_of(request)->keep_alive = false;
 }
 
 void
-comet_front_start(struct comet_front_request *request, unsigned int status, const char *reason,
-	const char *headers, int64_t length)
+comet_http_server_start_response(struct comet_http_server_request *request, unsigned int status,
+	const char *reason, const char *headers, int64_t length)
 {
 	struct connection *connection = connection_of(request);
 	const struct comet_http_head *head = request->head;
@@ -574,7 +577,8 @@
 }
 
 void
-comet_front_send(struct comet_front_request *request, const char *data, size_t length)
+comet_http_server_send_body(
+	struct comet_http_server_request *request, const char *data, size_t length)
 {
 	struct connection *connection = connection_of(request);
 
@@ -594,7 +598,7 @@
 }
 
 void
-comet_front_finish(struct comet_front_request *request)
+comet_http_server_finish_response(struct comet_http_server_request *request)
 {
 	struct connection *connection = connection_of(request);
 
@@ -620,23 +624,23 @@
 }
 
 void
-comet_front_answer(struct comet_front_request *request, unsigned int status, const char *headers,
-	const char *body, size_t length)
+comet_http_server_respond(struct comet_http_server_request *request, unsigned int status,
+	const char *headers, const char *body, size_t length)
 {
-	comet_front_start(request, status, NULL, headers, (int64_t)length);
-	comet_front_send(request, body, length);
-	comet_front_finish(request);
+	comet_http_server_start_response(request, status, NULL, headers, (int64_t)length);
+	comet_http_server_send_body(request, body, length);
+	comet_http_server_finish_response(request);
 }
 
 void
-comet_front_abort(struct comet_front_request *request)
+comet_http_server_abort_response(struct comet_http_server_request *request)
 {
 	/* Chunks, lengths and a reset show that the end is missing. */
 	drop(connection_of(request));
 }
 
 size_t
-comet_front_queued(const struct comet_front_request *request)
+comet_http_server_queued_bytes(const struct comet_http_server_request *request)
 {
 	return comet_socket_queued(connection_of(request)->socket);
 }
--- a/libcometspindle/adapters/callers/traffic.c
+++ b/libcometspindle/adapters/callers/worker.c
@@ -1,8 +1,8 @@
 /*
- * traffic.c
+ * worker.c
  * a traffic thread: its loop, its connections and its mailbox
  */
-#include <libcometspindle/adapters/callers/traffic_private.h>
+#include <libcometspindle/adapters/callers/worker_private.h>
 
 #include <errno.h>
 #include <inttypes.h>
@@ -19,26 +19,26 @@
 #define IP_SHARE_DIVISOR 2
 
 static struct comet_call *
-call_create(struct comet_traffic *traffic, struct MHD_Connection *connection)
+call_create(struct comet_worker *worker, struct MHD_Connection *connection)
 {
 	struct comet_call *call = g_new0(struct comet_call, 1);
 
-	call->traffic = traffic;
+	call->worker = worker;
 	call->connection = connection;
 	call->body = g_string_new(NULL);
 	call->out = g_byte_array_new();
-	call->request = traffic->next_request;
-	traffic->next_request += traffic->config.stride;
-	g_snprintf(call->id, sizeof call->id, "%08x.%012" PRIx64, (uint32_t)traffic->config.vm_id,
+	call->request = worker->next_request;
+	worker->next_request += worker->config.stride;
+	g_snprintf(call->id, sizeof call->id, "%08x.%012" PRIx64, (uint32_t)worker->config.vm_id,
 		call->request);
-	__atomic_add_fetch(&traffic->open, 1, __ATOMIC_RELAXED);
+	__atomic_add_fetch(&worker->open, 1, __ATOMIC_RELAXED);
 	return call;
 }
 
 static void
 call_take_body(struct comet_call *call, const char *data, size_t *length)
 {
-	if (call->body->len + *length > call->traffic->config.max_body_bytes)
+	if (call->body->len + *length > call->worker->config.max_body_bytes)
 		call->too_large = true;
 	else
 		g_string_append_len(call->body, data, (gssize)*length);
@@ -49,19 +49,19 @@
 on_request(void *ctx, struct MHD_Connection *connection, const char *url, const char *method,
 	const char *version, const char *data, size_t *length, void **request_ctx)
 {
-	struct comet_traffic *traffic = ctx;
+	struct comet_worker *worker = ctx;
 	struct comet_call *call = *request_ctx;
 	bool get = strcmp(method, MHD_HTTP_METHOD_GET) == 0;
 
 	(void)version;
 	if (get && !g_str_has_prefix(url, "/v1/streams/"))
-		return comet_pages_answer(traffic, connection, url);
+		return comet_worker_respond_page(worker, connection, url);
 	if (!get && strcmp(method, MHD_HTTP_METHOD_POST) != 0)
-		return comet_http_answer(
+		return comet_http_respond(
 			connection, MHD_HTTP_METHOD_NOT_ALLOWED, "text/plain", "GET or POST\n", 12);
 	if (call == NULL)
 	{
-		*request_ctx = call_create(traffic, connection);
+		*request_ctx = call_create(worker, connection);
 		return MHD_YES;
 	}
 	if (*length > 0)
@@ -73,8 +73,8 @@
 	{
 	case COMET_CALL_READING:
 		return comet_call_begin(call, url);
-	case COMET_CALL_ANSWERING:
-		return comet_call_answer(call);
+	case COMET_CALL_RESPONDING:
+		return comet_call_respond(call);
 	case COMET_CALL_REFUSED:
 		return comet_call_refuse(
 			call, call->refusal, call->verdict, NULL, call->retry_after_ms);
@@ -121,9 +121,9 @@
 }
 
 static void
-on_dispatch(struct comet_traffic *traffic, struct comet_traffic_message *message)
+on_dispatch(struct comet_worker *worker, struct comet_worker_message *message)
 {
-	struct comet_call *call = g_hash_table_lookup(traffic->calls, &message->request);
+	struct comet_call *call = g_hash_table_lookup(worker->calls, &message->request);
 	const struct comet_endpoint *endpoint =
 		comet_bundle_endpoint(message->bundle, message->endpoint_id);
 
@@ -136,19 +136,19 @@
 		back->kind = COMET_CONTROL_FINISHED;
 		back->request = message->request;
 		back->outcome = COMET_OUTCOME_WITHDRAWN;
-		comet_mailbox_send(traffic->config.control, back);
+		comet_mailbox_send(worker->config.control, back);
 	}
 	comet_bundle_unref(message->bundle);
 }
 
 static void
-on_refuse(struct comet_traffic *traffic, const struct comet_traffic_message *message)
+on_refuse(struct comet_worker *worker, const struct comet_worker_message *message)
 {
-	struct comet_call *call = g_hash_table_lookup(traffic->calls, &message->request);
+	struct comet_call *call = g_hash_table_lookup(worker->calls, &message->request);
 
 	if (call == NULL)
 		return;
-	g_hash_table_remove(traffic->calls, &call->request);
+	g_hash_table_remove(worker->calls, &call->request);
 	call->listed = false;
 	if (call->connection == NULL)
 	{
@@ -165,25 +165,25 @@
 static void
 on_message(void *ctx, void *data)
 {
-	struct comet_traffic *traffic = ctx;
-	struct comet_traffic_message *message = data;
+	struct comet_worker *worker = ctx;
+	struct comet_worker_message *message = data;
 
 	if (message == NULL)
 		return;
 	switch (message->kind)
 	{
-	case COMET_TRAFFIC_DISPATCH:
-		on_dispatch(traffic, message);
+	case COMET_WORKER_DISPATCH:
+		on_dispatch(worker, message);
 		break;
-	case COMET_TRAFFIC_REFUSE:
-		on_refuse(traffic, message);
+	case COMET_WORKER_REFUSE:
+		on_refuse(worker, message);
 		break;
-	case COMET_TRAFFIC_QUIESCE:
-		traffic->quiesced = true;
-		comet_http_loop_quiesce(traffic->http);
+	case COMET_WORKER_QUIESCE:
+		worker->quiesced = true;
+		comet_http_loop_quiesce(worker->http);
 		break;
-	case COMET_TRAFFIC_EXIT:
-		traffic->exiting = true;
+	case COMET_WORKER_EXIT:
+		worker->exiting = true;
 		break;
 	}
 	g_free(message);
@@ -204,13 +204,13 @@
 static void
 on_sweep(struct tevent_context *ev, struct tevent_timer *timer, struct timeval now, void *data)
 {
-	struct comet_traffic *traffic = data;
+	struct comet_worker *worker = data;
 	GHashTableIter iter;
 	gpointer value = NULL;
 
 	(void)timer;
 	(void)now;
-	g_hash_table_iter_init(&iter, traffic->calls);
+	g_hash_table_iter_init(&iter, worker->calls);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
 	{
 		struct comet_call *call = value;
@@ -221,94 +221,94 @@
 			comet_call_wake(call);
 		}
 	}
-	traffic->sweep = tevent_add_timer(ev, ev, comet_clock_after(SWEEP_US), on_sweep, traffic);
+	worker->sweep = tevent_add_timer(ev, ev, comet_clock_after(SWEEP_US), on_sweep, worker);
 }
 
 static gpointer
 run(gpointer data)
 {
-	struct comet_traffic *traffic = data;
+	struct comet_worker *worker = data;
 
-	while (!traffic->exiting && tevent_loop_once(traffic->ev) == 0)
+	while (!worker->exiting && tevent_loop_once(worker->ev) == 0)
 		continue;
 	return NULL;
 }
 
 static bool
-start_http(struct comet_traffic *traffic)
+start_http(struct comet_worker *worker)
 {
 	struct comet_http_config http = {
-		.address = traffic->config.address,
-		.port = traffic->config.port,
-		.max_connections = traffic->config.max_connections,
-		.max_per_ip = traffic->config.max_connections / IP_SHARE_DIVISOR,
+		.address = worker->config.address,
+		.port = worker->config.port,
+		.max_connections = worker->config.max_connections,
+		.max_per_ip = worker->config.max_connections / IP_SHARE_DIVISOR,
 		.idle_timeout_s = IDLE_TIMEOUT_S,
 		.on_request = on_request,
 		.on_completed = on_completed,
-		.ctx = traffic,
+		.ctx = worker,
 	};
 
-	traffic->http = comet_http_loop_create(traffic->ev, traffic->ev, &http);
-	return traffic->http != NULL;
+	worker->http = comet_http_loop_create(worker->ev, worker->ev, &http);
+	return worker->http != NULL;
 }
 
-struct comet_traffic *
-comet_traffic_create(const struct comet_traffic_config *config)
+struct comet_worker *
+comet_worker_create(const struct comet_worker_config *config)
 {
-	struct comet_traffic *traffic = g_new0(struct comet_traffic, 1);
+	struct comet_worker *worker = g_new0(struct comet_worker, 1);
 
-	traffic->config = *config;
-	traffic->next_request = config->first_request;
-	traffic->ev = tevent_context_init(NULL);
-	traffic->calls = g_hash_table_new(g_int64_hash, g_int64_equal);
-	traffic->per_team = g_hash_table_new(g_direct_hash, g_direct_equal);
-	traffic->curl = comet_curl_loop_create(traffic->ev, traffic->ev);
-	traffic->mailbox = comet_mailbox_create(traffic->ev, traffic->ev, on_message, traffic);
-	if (!start_http(traffic))
+	worker->config = *config;
+	worker->next_request = config->first_request;
+	worker->ev = tevent_context_init(NULL);
+	worker->calls = g_hash_table_new(g_int64_hash, g_int64_equal);
+	worker->per_team = g_hash_table_new(g_direct_hash, g_direct_equal);
+	worker->curl = comet_curl_loop_create(worker->ev, worker->ev);
+	worker->mailbox = comet_mailbox_create(worker->ev, worker->ev, on_message, worker);
+	if (!start_http(worker))
 	{
 		int failed = errno;
-		comet_traffic_destroy(traffic);
+		comet_worker_destroy(worker);
 		errno = failed;
 		return NULL;
 	}
-	traffic->sweep = tevent_add_timer(
-		traffic->ev, traffic->ev, comet_clock_after(SWEEP_US), on_sweep, traffic);
-	traffic->thread = g_thread_new("traffic", run, traffic);
-	return traffic;
+	worker->sweep = tevent_add_timer(
+		worker->ev, worker->ev, comet_clock_after(SWEEP_US), on_sweep, worker);
+	worker->thread = g_thread_new("traffic", run, worker);
+	return worker;
 }
 
 uint16_t
-comet_traffic_port(const struct comet_traffic *traffic)
+comet_worker_port(const struct comet_worker *worker)
 {
-	return comet_http_loop_port(traffic->http);
+	return comet_http_loop_port(worker->http);
 }
 
 void
-comet_traffic_send(struct comet_traffic *traffic, struct comet_traffic_message *message)
+comet_worker_send(struct comet_worker *worker, struct comet_worker_message *message)
 {
-	comet_mailbox_send(traffic->mailbox, message);
+	comet_mailbox_send(worker->mailbox, message);
 }
 
 uint32_t
-comet_traffic_open(const struct comet_traffic *traffic)
+comet_worker_open_calls(const struct comet_worker *worker)
 {
-	return __atomic_load_n(&traffic->open, __ATOMIC_RELAXED);
+	return __atomic_load_n(&worker->open, __ATOMIC_RELAXED);
 }
 
 uint64_t
-comet_traffic_buffered(const struct comet_traffic *traffic)
+comet_worker_buffered_bytes(const struct comet_worker *worker)
 {
-	return (uint64_t)__atomic_load_n(&traffic->buffered, __ATOMIC_RELAXED);
+	return (uint64_t)__atomic_load_n(&worker->buffered, __ATOMIC_RELAXED);
 }
 
 void
-comet_traffic_destroy(struct comet_traffic *traffic)
+comet_worker_destroy(struct comet_worker *worker)
 {
-	if (traffic->thread != NULL)
-		g_thread_join(traffic->thread);
-	TALLOC_FREE(traffic->http); /* ends what is open, while the rest still stands */
-	talloc_free(traffic->ev);
-	g_hash_table_destroy(traffic->calls);
-	g_hash_table_destroy(traffic->per_team);
-	g_free(traffic);
+	if (worker->thread != NULL)
+		g_thread_join(worker->thread);
+	TALLOC_FREE(worker->http); /* ends what is open, while the rest still stands */
+	talloc_free(worker->ev);
+	g_hash_table_destroy(worker->calls);
+	g_hash_table_destroy(worker->per_team);
+	g_free(worker);
 }
--- a/libcometspindle/adapters/callers/traffic.h
+++ b/libcometspindle/adapters/callers/worker.h
@@ -1,21 +1,21 @@
 /*
- * traffic.h
+ * worker.h
  * a traffic thread: callers' connections and the dispatches made for them
  *
  * A request lives in the thread that accepted it, from the first byte to the
  * last. Only the permission to dispatch comes from elsewhere.
  */
-#ifndef COMETSPINDLE_ADAPTERS_TRAFFIC_H
-#define COMETSPINDLE_ADAPTERS_TRAFFIC_H
+#ifndef COMETSPINDLE_ADAPTERS_WORKER_H
+#define COMETSPINDLE_ADAPTERS_WORKER_H
 
 #include <libcometspindle/adapters/daemon/mailbox.h>
 #include <libcometspindle/adapters/peers/token.h>
-#include <libcometspindle/adapters/daemon/view.h>
+#include <libcometspindle/adapters/daemon/state_snapshot.h>
 #include <libcometspindle/node/node.h>
 #include <stdint.h>
 
 /** Messages from a traffic thread to the control thread. */
-enum comet_control_kind
+enum comet_control_message_kind
 {
 	COMET_CONTROL_SUBMIT,
 	COMET_CONTROL_FINISHED,
@@ -25,7 +25,7 @@
 
 struct comet_control_message
 {
-	enum comet_control_kind kind;
+	enum comet_control_message_kind kind;
 	uint64_t request;
 	struct comet_submission submission; /**< SUBMIT */
 	enum comet_outcome outcome;         /**< FINISHED */
@@ -34,17 +34,17 @@
 };
 
 /** Messages from the control thread to a traffic thread. */
-enum comet_traffic_kind
+enum comet_worker_message_kind
 {
-	COMET_TRAFFIC_DISPATCH,
-	COMET_TRAFFIC_REFUSE,
-	COMET_TRAFFIC_QUIESCE, /**< stop accepting */
-	COMET_TRAFFIC_EXIT,    /**< end the loop */
+	COMET_WORKER_DISPATCH,
+	COMET_WORKER_REFUSE,
+	COMET_WORKER_QUIESCE, /**< stop accepting */
+	COMET_WORKER_EXIT,    /**< end the loop */
 };
 
-struct comet_traffic_message
+struct comet_worker_message
 {
-	enum comet_traffic_kind kind;
+	enum comet_worker_message_kind kind;
 	uint64_t request;
 	uint32_t endpoint_id;
 	struct comet_bundle *bundle; /**< DISPATCH: a reference, for the endpoint's address */
@@ -54,7 +54,7 @@
 };
 
 /** What a traffic thread is made with. */
-struct comet_traffic_config
+struct comet_worker_config
 {
 	const char *address;
 	uint16_t port; /**< 0: the kernel chooses */
@@ -65,32 +65,32 @@
 	uint32_t stride;        /**< ...in steps of the number of threads */
 	const uint8_t *token_key;
 	struct comet_mailbox *control;
-	struct comet_view_board *board;
+	struct comet_snapshot_publisher *snapshot_publisher;
 };
 
-struct comet_traffic;
+struct comet_worker;
 
 /** Starts listening and the thread. NULL on failure, errno set. */
-struct comet_traffic *
-comet_traffic_create(const struct comet_traffic_config *config);
+struct comet_worker *
+comet_worker_create(const struct comet_worker_config *config);
 
 uint16_t
-comet_traffic_port(const struct comet_traffic *traffic);
+comet_worker_port(const struct comet_worker *worker);
 
 /** Sends it a message (g_malloc'ed; taken over). */
 void
-comet_traffic_send(struct comet_traffic *traffic, struct comet_traffic_message *message);
+comet_worker_send(struct comet_worker *worker, struct comet_worker_message *message);
 
 /** Calls that are open now. */
 uint32_t
-comet_traffic_open(const struct comet_traffic *traffic);
+comet_worker_open_calls(const struct comet_worker *worker);
 
 /** Bytes of answers held for callers that read slowly. */
 uint64_t
-comet_traffic_buffered(const struct comet_traffic *traffic);
+comet_worker_buffered_bytes(const struct comet_worker *worker);
 
-/** Waits for the thread to end (after COMET_TRAFFIC_EXIT) and frees everything. */
+/** Waits for the thread to end (after COMET_WORKER_EXIT) and frees everything. */
 void
-comet_traffic_destroy(struct comet_traffic *traffic);
+comet_worker_destroy(struct comet_worker *worker);
 
 #endif
--- a/libcometspindle/adapters/callers/traffic_call.c
+++ b/libcometspindle/adapters/callers/worker_call.c
@@ -1,8 +1,8 @@
 /*
- * traffic_call.c
+ * worker_call.c
  * the life of one caller's call: read, checked, submitted to the control thread
  */
-#include <libcometspindle/adapters/callers/traffic_private.h>
+#include <libcometspindle/adapters/callers/worker_private.h>
 
 #include <libcometspindle/hash.h>
 #include <libcometspindle/log.h>
@@ -56,14 +56,14 @@
 static bool
 team_has_room(struct comet_call *call, const struct comet_team *team)
 {
-	struct comet_traffic *traffic = call->traffic;
+	struct comet_worker *worker = call->worker;
 	gpointer id = GUINT_TO_POINTER(team->id);
-	uint32_t open = GPOINTER_TO_UINT(g_hash_table_lookup(traffic->per_team, id));
+	uint32_t open = GPOINTER_TO_UINT(g_hash_table_lookup(worker->per_team, id));
 
 	call->team_id = team->id;
-	if (open >= traffic->config.max_connections / TEAM_SHARE_DIVISOR)
+	if (open >= worker->config.max_connections / TEAM_SHARE_DIVISOR)
 		return false;
-	g_hash_table_insert(traffic->per_team, id, GUINT_TO_POINTER(open + 1));
+	g_hash_table_insert(worker->per_team, id, GUINT_TO_POINTER(open + 1));
 	call->counted = true;
 	return true;
 }
@@ -203,14 +203,14 @@
 	call->deadline_ms = submission->deadline_ms;
 	call->state = COMET_CALL_WAITING;
 	call->listed = true;
-	g_hash_table_insert(call->traffic->calls, &call->request, call);
+	g_hash_table_insert(call->worker->calls, &call->request, call);
 	message->kind = COMET_CONTROL_SUBMIT;
 	message->submission = *submission;
 	message->submission.request = call->request;
 	g_string_free(call->body, TRUE); /* what is forwarded is held already */
 	call->body = NULL;
 	comet_call_suspend(call);
-	comet_call_tell(call, message);
+	comet_call_notify_control(call, message);
 }
 
 static enum MHD_Result
@@ -221,7 +221,7 @@
 		MHD_lookup_connection_value(call->connection, MHD_GET_ARGUMENT_KIND, "offset");
 	guint64 start = 0;
 
-	if (!comet_token_open(text, call->traffic->config.token_key, &token) ||
+	if (!comet_token_open(text, call->worker->config.token_key, &token) ||
 		token.team_id != team->id)
 		return refuse_plain(call, COMET_REFUSAL_NOT_FOUND, NULL);
 	const struct comet_endpoint *endpoint =
@@ -234,7 +234,7 @@
 	g_strlcpy(call->id, token.request_id, sizeof call->id);
 	call->resumed = true;
 	call->listed = true; /* for the sweep; the node knows nothing of it */
-	g_hash_table_insert(call->traffic->calls, &call->request, call);
+	g_hash_table_insert(call->worker->calls, &call->request, call);
 	call->streaming = true;
 	/* a cut may have fallen within the done event or behind it: its line is to come whole */
 	call->overlap = MIN(start, COMET_STREAM_OVERLAP_BYTES);
@@ -255,11 +255,11 @@
 	char *detail = NULL;
 
 	memset(&submission, 0, sizeof submission);
-	call->view = comet_view_get(call->traffic->config.board);
+	call->view = comet_state_snapshot_acquire(call->worker->config.snapshot_publisher);
 	if (call->view == NULL || call->view->bundle == NULL)
 		return comet_call_refuse(
 			call, COMET_REFUSAL_NOT_READY, COMET_VERDICT_NOT_RUN, NULL, 1000);
-	if (call->traffic->quiesced)
+	if (call->worker->quiesced)
 		return comet_call_refuse(
 			call, COMET_REFUSAL_STOPPING, COMET_VERDICT_NOT_RUN, NULL, 1);
 	if (call->too_large)
--- a/libcometspindle/adapters/callers/traffic_pages.c
+++ b/libcometspindle/adapters/callers/worker_pages.c
@@ -1,8 +1,8 @@
 /*
- * traffic_pages.c
+ * worker_pages.c
  * the pages that are read from the published view
  */
-#include <libcometspindle/adapters/callers/traffic_private.h>
+#include <libcometspindle/adapters/callers/worker_private.h>
 
 #include <libcometspindle/log.h>
 #include <string.h>
@@ -16,11 +16,11 @@
 answer_text(
 	struct MHD_Connection *connection, unsigned int status, const char *type, const char *body)
 {
-	return comet_http_answer(connection, status, type, body, strlen(body));
+	return comet_http_respond(connection, status, type, body, strlen(body));
 }
 
 static enum MHD_Result
-answer_ready(struct MHD_Connection *connection, const struct comet_view *view)
+answer_ready(struct MHD_Connection *connection, const struct comet_state_snapshot *view)
 {
 	if (view == NULL)
 		return answer_text(connection, MHD_HTTP_SERVICE_UNAVAILABLE, TEXT, "starting\n");
@@ -38,10 +38,11 @@
 }
 
 enum MHD_Result
-comet_pages_answer(
-	struct comet_traffic *traffic, struct MHD_Connection *connection, const char *url)
+comet_worker_respond_page(
+	struct comet_worker *worker, struct MHD_Connection *connection, const char *url)
 {
-	struct comet_view *view = comet_view_get(traffic->config.board);
+	struct comet_state_snapshot *view =
+		comet_state_snapshot_acquire(worker->config.snapshot_publisher);
 	enum MHD_Result result = MHD_NO;
 
 	if (strcmp(url, "/healthz") == 0)
@@ -59,6 +60,6 @@
 			"{\"error\":{\"code\":\"not_found\",\"message\":\"there is nothing at this "
 			"path\","
 			"\"verdict\":\"not_run\"}}\n");
-	comet_view_put(view);
+	comet_state_snapshot_release(view);
 	return result;
 }
--- a/libcometspindle/adapters/callers/traffic_private.h
+++ b/libcometspindle/adapters/callers/worker_private.h
@@ -1,24 +1,24 @@
 /*
- * traffic_private.h
+ * worker_private.h
  * what the traffic thread's files share
  */
-#ifndef COMETSPINDLE_ADAPTERS_TRAFFIC_PRIVATE_H
-#define COMETSPINDLE_ADAPTERS_TRAFFIC_PRIVATE_H
+#ifndef COMETSPINDLE_ADAPTERS_WORKER_PRIVATE_H
+#define COMETSPINDLE_ADAPTERS_WORKER_PRIVATE_H
 
 #include <glib.h>
 #include <libcometspindle/adapters/endpoints/curl_loop.h>
 #include <libcometspindle/adapters/endpoints/endpoint_call.h>
 #include <libcometspindle/adapters/callers/http_loop.h>
-#include <libcometspindle/adapters/callers/traffic.h>
+#include <libcometspindle/adapters/callers/worker.h>
 #include <libcometspindle/request.h>
 #include <stdbool.h>
 
 /* A stream of the product's own interface is resumed under this path and its request's id. */
 #define STREAMS_PATH "/v1/streams/"
 
-struct comet_traffic
+struct comet_worker
 {
-	struct comet_traffic_config config;
+	struct comet_worker_config config;
 	GThread *thread;
 	struct tevent_context *ev;
 	struct comet_mailbox *mailbox;
@@ -37,23 +37,23 @@
 /** Where a caller's call stands. */
 enum comet_call_state
 {
-	COMET_CALL_READING,   /**< the body still comes in */
-	COMET_CALL_WAITING,   /**< submitted; the connection is suspended */
-	COMET_CALL_ANSWERING, /**< the endpoint's head is here; to be queued */
-	COMET_CALL_REFUSED,   /**< the control thread refused it; to be queued */
-	COMET_CALL_STREAMING, /**< the response is queued, data flows */
+	COMET_CALL_READING,    /**< the body still comes in */
+	COMET_CALL_WAITING,    /**< submitted; the connection is suspended */
+	COMET_CALL_RESPONDING, /**< the endpoint's head is here; to be queued */
+	COMET_CALL_REFUSED,    /**< the control thread refused it; to be queued */
+	COMET_CALL_STREAMING,  /**< the response is queued, data flows */
 };
 
 /** One caller's call. */
 struct comet_call
 {
-	struct comet_traffic *traffic;
+	struct comet_worker *worker;
 	struct MHD_Connection *connection; /**< NULL: the caller left */
 	enum comet_call_state state;
 	bool suspended;
-	bool counted;            /**< in per_team */
-	bool listed;             /**< in calls */
-	struct comet_view *view; /**< the world this request began in */
+	bool counted;                      /**< in per_team */
+	bool listed;                       /**< in calls */
+	struct comet_state_snapshot *view; /**< the world this request began in */
 	GString *body;
 	bool too_large;
 	uint64_t request;
@@ -105,13 +105,13 @@
 
 /** Sends a message about the call to the control thread. */
 void
-comet_call_tell(struct comet_call *call, struct comet_control_message *message);
+comet_call_notify_control(struct comet_call *call, struct comet_control_message *message);
 
 /* traffic_answer.c */
 
 /** Queues the endpoint's answer. */
 enum MHD_Result
-comet_call_answer(struct comet_call *call);
+comet_call_respond(struct comet_call *call);
 
 /** Starts the dispatch that the control thread permitted. */
 void
@@ -129,7 +129,7 @@
 
 /** GET answers that need no call: entries, status, metrics, health. */
 enum MHD_Result
-comet_pages_answer(
-	struct comet_traffic *traffic, struct MHD_Connection *connection, const char *url);
+comet_worker_respond_page(
+	struct comet_worker *worker, struct MHD_Connection *connection, const char *url);
 
 #endif
--- a/libcometspindle/adapters/callers/traffic_refuse.c
+++ b/libcometspindle/adapters/callers/worker_refuse.c
@@ -1,17 +1,17 @@
 /*
- * traffic_refuse.c
+ * worker_refuse.c
  * what each step of a call needs: to tell the control thread, to refuse, to wait and to be woken
  */
-#include <libcometspindle/adapters/callers/traffic_private.h>
+#include <libcometspindle/adapters/callers/worker_private.h>
 
 #include <libcometspindle/log.h>
 #include <string.h>
 
 void
-comet_call_tell(struct comet_call *call, struct comet_control_message *message)
+comet_call_notify_control(struct comet_call *call, struct comet_control_message *message)
 {
 	message->request = call->request;
-	comet_mailbox_send(call->traffic->config.control, message);
+	comet_mailbox_send(call->worker->config.control, message);
 }
 
 enum MHD_Result
@@ -65,5 +65,5 @@
 	if (!call->suspended || call->connection == NULL)
 		return;
 	call->suspended = false;
-	comet_http_loop_resume(call->traffic->http, call->connection);
+	comet_http_loop_resume(call->worker->http, call->connection);
 }
--- a/libcometspindle/adapters/callers/traffic_answer.c
+++ b/libcometspindle/adapters/callers/worker_response.c
@@ -1,8 +1,8 @@
 /*
- * traffic_answer.c
+ * worker_response.c
  * the life of one caller's call: dispatched once, its answer passed on, freed
  */
-#include <libcometspindle/adapters/callers/traffic_private.h>
+#include <libcometspindle/adapters/callers/worker_private.h>
 
 #include <libcometspindle/log.h>
 #include <string.h>
@@ -16,7 +16,7 @@
 static void
 buffered_change(struct comet_call *call, gint64 change)
 {
-	__atomic_add_fetch(&call->traffic->buffered, change, __ATOMIC_RELAXED);
+	__atomic_add_fetch(&call->worker->buffered, change, __ATOMIC_RELAXED);
 }
 
 static size_t
@@ -32,7 +32,7 @@
 
 	call->status = status;
 	g_strlcpy(call->content_type, content_type, sizeof call->content_type);
-	call->state = COMET_CALL_ANSWERING;
+	call->state = COMET_CALL_RESPONDING;
 	comet_call_wake(call);
 }
 
@@ -72,7 +72,7 @@
 	struct comet_control_message *message = g_new0(struct comet_control_message, 1);
 	message->kind = COMET_CONTROL_SLOW;
 	message->step_us = step_us;
-	comet_call_tell(call, message);
+	comet_call_notify_control(call, message);
 }
 
 static void
@@ -88,14 +88,14 @@
 	message->outcome = outcome;
 	if (sample != NULL)
 		message->sample = *sample;
-	comet_call_tell(call, message);
+	comet_call_notify_control(call, message);
 }
 
 static void
 unlist(struct comet_call *call)
 {
 	if (call->listed)
-		g_hash_table_remove(call->traffic->calls, &call->request);
+		g_hash_table_remove(call->worker->calls, &call->request);
 	call->listed = false;
 }
 
@@ -113,7 +113,7 @@
 				? COMET_CONTROL_ABANDONED
 				: COMET_CONTROL_FINISHED;
 	message->outcome = COMET_OUTCOME_WITHDRAWN;
-	comet_call_tell(call, message);
+	comet_call_notify_control(call, message);
 }
 
 static void
@@ -138,7 +138,7 @@
 	call->upstream_over = true;
 	call->whole = whole;
 	if (call->state == COMET_CALL_WAITING)
-		call->state = COMET_CALL_ANSWERING; /* it failed before a head came */
+		call->state = COMET_CALL_RESPONDING; /* it failed before a head came */
 	comet_call_wake(call);
 	comet_call_free_if_over(call);
 }
@@ -165,8 +165,8 @@
 	if (call->upstream != NULL)
 		comet_violation("dispatched_twice", "request=%s", call->id);
 	call->endpoint_id = endpoint->id;
-	call->upstream = comet_endpoint_call_create(call->traffic->ev, call->traffic->ev,
-		call->traffic->curl, &request, &endpoint_events, call);
+	call->upstream = comet_endpoint_call_create(call->worker->ev, call->worker->ev,
+		call->worker->curl, &request, &endpoint_events, call);
 	g_free(url);
 	g_free(resume_url);
 }
@@ -221,12 +221,12 @@
 	if (!call->streaming || call->is_service || call->status != MHD_HTTP_OK)
 		return;
 	g_strlcpy(token.request_id, call->id, sizeof token.request_id);
-	comet_token_seal(&token, call->traffic->config.token_key, text);
+	comet_token_seal(&token, call->worker->config.token_key, text);
 	MHD_add_response_header(response, "Comet-Resume", text);
 }
 
 enum MHD_Result
-comet_call_answer(struct comet_call *call)
+comet_call_respond(struct comet_call *call)
 {
 	if (call->status == 0) /* no head ever came, and bytes had left */
 		return comet_call_refuse(
@@ -255,15 +255,15 @@
 void
 comet_call_free_if_over(struct comet_call *call)
 {
-	struct comet_traffic *traffic = call->traffic;
+	struct comet_worker *worker = call->worker;
 
 	if (call->connection != NULL || call->upstream != NULL || call->listed)
 		return;
 	if (call->counted)
 	{
 		gpointer id = GUINT_TO_POINTER(call->team_id);
-		uint32_t open = GPOINTER_TO_UINT(g_hash_table_lookup(traffic->per_team, id));
-		g_hash_table_insert(traffic->per_team, id, GUINT_TO_POINTER(open - 1));
+		uint32_t open = GPOINTER_TO_UINT(g_hash_table_lookup(worker->per_team, id));
+		g_hash_table_insert(worker->per_team, id, GUINT_TO_POINTER(open - 1));
 	}
 	buffered_change(call, -(gint64)out_length(call));
 	g_byte_array_free(call->out, TRUE);
@@ -271,7 +271,7 @@
 		g_string_free(call->body, TRUE);
 	g_free(call->path);
 	g_free(call->forward);
-	comet_view_put(call->view);
-	__atomic_sub_fetch(&traffic->open, 1, __ATOMIC_RELAXED);
+	comet_state_snapshot_release(call->view);
+	__atomic_sub_fetch(&worker->open, 1, __ATOMIC_RELAXED);
 	g_free(call);
 }
--- a/libcometspindle/adapters/daemon/daemon.c
+++ b/libcometspindle/adapters/daemon/daemon.c
@@ -40,23 +40,23 @@
 	comet_peers_send(daemon->peers, vm, packet, blob);
 }
 
-static struct comet_traffic *
+static struct comet_worker *
 traffic_of(struct comet_daemon *daemon, uint64_t request)
 {
-	return daemon->traffic[(request - daemon->first_request) % daemon->n_traffic];
+	return daemon->worker[(request - daemon->first_request) % daemon->n_workers];
 }
 
 static void
 node_dispatch(void *ctx, uint64_t request, const struct comet_endpoint *endpoint)
 {
 	struct comet_daemon *daemon = ctx;
-	struct comet_traffic_message *message = g_new0(struct comet_traffic_message, 1);
+	struct comet_worker_message *message = g_new0(struct comet_worker_message, 1);
 
-	message->kind = COMET_TRAFFIC_DISPATCH;
+	message->kind = COMET_WORKER_DISPATCH;
 	message->request = request;
 	message->endpoint_id = endpoint->id;
 	message->bundle = comet_bundle_ref(comet_node_bundle(daemon->node));
-	comet_traffic_send(traffic_of(daemon, request), message);
+	comet_worker_send(traffic_of(daemon, request), message);
 }
 
 static void
@@ -64,14 +64,14 @@
 	uint32_t retry_after_ms)
 {
 	struct comet_daemon *daemon = ctx;
-	struct comet_traffic_message *message = g_new0(struct comet_traffic_message, 1);
+	struct comet_worker_message *message = g_new0(struct comet_worker_message, 1);
 
-	message->kind = COMET_TRAFFIC_REFUSE;
+	message->kind = COMET_WORKER_REFUSE;
 	message->request = request;
 	message->refusal = refusal;
 	message->verdict = verdict;
 	message->retry_after_ms = retry_after_ms;
-	comet_traffic_send(traffic_of(daemon, request), message);
+	comet_worker_send(traffic_of(daemon, request), message);
 }
 
 static void
@@ -251,7 +251,7 @@
 	struct comet_daemon *daemon = ctx;
 
 	if (!comet_bundle_pool(comet_node_bundle(daemon->node), endpoint->pools[0])->is_service)
-		comet_reports_poll(daemon->reports, endpoint);
+		comet_load_poller_poll(daemon->reports, endpoint);
 }
 
 /* For fault tests: the file names the VMs that this one is cut off from, one a line. */
@@ -281,19 +281,19 @@
 {
 	uint32_t open = 0;
 
-	for (uint32_t i = 0; i < daemon->n_traffic; i++)
-		open += comet_traffic_open(daemon->traffic[i]);
+	for (uint32_t i = 0; i < daemon->n_workers; i++)
+		open += comet_worker_open_calls(daemon->worker[i]);
 	return open;
 }
 
 static void
-tell_traffic(struct comet_daemon *daemon, enum comet_traffic_kind kind)
+tell_traffic(struct comet_daemon *daemon, enum comet_worker_message_kind kind)
 {
-	for (uint32_t i = 0; i < daemon->n_traffic; i++)
+	for (uint32_t i = 0; i < daemon->n_workers; i++)
 	{
-		struct comet_traffic_message *message = g_new0(struct comet_traffic_message, 1);
+		struct comet_worker_message *message = g_new0(struct comet_worker_message, 1);
 		message->kind = kind;
-		comet_traffic_send(daemon->traffic[i], message);
+		comet_worker_send(daemon->worker[i], message);
 	}
 }
 
@@ -308,7 +308,7 @@
 	{
 		daemon->quiesced = true;
 		daemon->quiesce_us = now_us;
-		tell_traffic(daemon, COMET_TRAFFIC_QUIESCE);
+		tell_traffic(daemon, COMET_WORKER_QUIESCE);
 		comet_log(
 			COMET_LOG_NOTICE, "event=stop phase=quiesced open=%u", open_calls(daemon));
 	}
@@ -406,7 +406,7 @@
 start_traffic(struct comet_daemon *daemon, GError **error)
 {
 	const struct comet_settings *settings = daemon->settings;
-	struct comet_traffic_config config = {
+	struct comet_worker_config config = {
 		.address = settings->listen_address,
 		.port = settings->listen_port,
 		.max_body_bytes = settings->max_body_bytes,
@@ -415,24 +415,24 @@
 		.stride = settings->traffic_threads,
 		.token_key = daemon->token_key,
 		.control = daemon->mailbox,
-		.board = daemon->board,
+		.snapshot_publisher = daemon->snapshot_publisher,
 	};
 
-	daemon->traffic =
-		talloc_zero_array(daemon->ev, struct comet_traffic *, settings->traffic_threads);
+	daemon->worker =
+		talloc_zero_array(daemon->ev, struct comet_worker *, settings->traffic_threads);
 	for (uint32_t i = 0; i < settings->traffic_threads; i++)
 	{
 		config.first_request = daemon->first_request + i;
-		daemon->traffic[i] = comet_traffic_create(&config);
-		if (daemon->traffic[i] == NULL)
+		daemon->worker[i] = comet_worker_create(&config);
+		if (daemon->worker[i] == NULL)
 		{
 			g_set_error(error, COMET_ERROR, COMET_ERROR_IO,
 				"listen_address: %s port %u: %s", config.address, config.port,
 				strerror(errno));
 			return false;
 		}
-		daemon->n_traffic = i + 1;
-		config.port = comet_traffic_port(daemon->traffic[i]);
+		daemon->n_workers = i + 1;
+		config.port = comet_worker_port(daemon->worker[i]);
 	}
 	comet_log(COMET_LOG_NOTICE, "event=start vm=%s id=%08x zone=%s listen=%s:%u version=%s",
 		settings->name, (uint32_t)daemon->self_id, settings->zone, config.address,
@@ -479,10 +479,10 @@
 				<< FIRST_REQUEST_SHIFT;
 	create_node(daemon, bundle_key);
 	daemon->flush = tevent_create_immediate(daemon->ev);
-	daemon->board = comet_view_board_create(daemon->ev);
+	daemon->snapshot_publisher = comet_snapshot_publisher_create(daemon->ev);
 	daemon->mailbox = comet_mailbox_create(daemon->ev, daemon->ev, on_control, daemon);
 	daemon->curl = comet_curl_loop_create(daemon->ev, daemon->ev);
-	daemon->reports = comet_reports_create(daemon->ev, daemon->curl, on_report, daemon);
+	daemon->reports = comet_load_poller_create(daemon->ev, daemon->curl, on_report, daemon);
 	daemon->peers = comet_peers_create(daemon->ev, daemon->ev, daemon->self_id,
 		daemon->settings->peer_endpoint, peer_key, on_packet, daemon, error);
 	sodium_memzero(peer_key, strlen(peer_key));
@@ -523,9 +523,9 @@
 void
 comet_daemon_destroy(struct comet_daemon *daemon)
 {
-	tell_traffic(daemon, COMET_TRAFFIC_EXIT);
-	for (uint32_t i = 0; i < daemon->n_traffic; i++)
-		comet_traffic_destroy(daemon->traffic[i]);
+	tell_traffic(daemon, COMET_WORKER_EXIT);
+	for (uint32_t i = 0; i < daemon->n_workers; i++)
+		comet_worker_destroy(daemon->worker[i]);
 	/* polls and watches end before the loop that carries them */
 	TALLOC_FREE(daemon->reports);
 	TALLOC_FREE(daemon->curl);
--- a/libcometspindle/adapters/daemon/daemon_private.h
+++ b/libcometspindle/adapters/daemon/daemon_private.h
@@ -7,8 +7,8 @@
 
 #include <libcometspindle/adapters/peers/peers.h>
 #include <libcometspindle/adapters/platform/platform.h>
-#include <libcometspindle/adapters/endpoints/reports.h>
-#include <libcometspindle/adapters/callers/traffic.h>
+#include <libcometspindle/adapters/endpoints/load_poller.h>
+#include <libcometspindle/adapters/callers/worker.h>
 #include <libcometspindle/settings.h>
 #include <stdbool.h>
 
@@ -20,12 +20,12 @@
 	struct comet_peers *peers;
 	struct comet_curl_loop *curl;
 	struct comet_platform *platform;
-	struct comet_reports *reports;
+	struct comet_load_poller *reports;
 	struct comet_mailbox *mailbox;
-	struct comet_view_board *board;
+	struct comet_snapshot_publisher *snapshot_publisher;
 	struct tevent_immediate *flush;
-	struct comet_traffic **traffic;
-	uint32_t n_traffic;
+	struct comet_worker **worker;
+	uint32_t n_workers;
 	uint64_t self_id;
 	uint64_t first_request;
 	uint8_t token_key[COMET_TOKEN_KEY_BYTES];
--- a/libcometspindle/adapters/daemon/daemon_view.c
+++ b/libcometspindle/adapters/daemon/daemon_snapshot.c
@@ -1,5 +1,5 @@
 /*
- * daemon_view.c
+ * daemon_snapshot.c
  * builds the view that the traffic threads serve: entries, status, metrics
  */
 #include <libcometspindle/adapters/daemon/daemon_private.h>
@@ -121,10 +121,10 @@
 	uint64_t buffered = 0;
 	uint32_t open = 0;
 
-	for (uint32_t i = 0; i < daemon->n_traffic; i++)
+	for (uint32_t i = 0; i < daemon->n_workers; i++)
 	{
-		open += comet_traffic_open(daemon->traffic[i]);
-		buffered += comet_traffic_buffered(daemon->traffic[i]);
+		open += comet_worker_open_calls(daemon->worker[i]);
+		buffered += comet_worker_buffered_bytes(daemon->worker[i]);
 	}
 	comet_peers_bytes(daemon->peers, &sent, &received);
 	getrusage(RUSAGE_SELF, &usage);
@@ -169,7 +169,7 @@
 void
 comet_daemon_publish(struct comet_daemon *daemon)
 {
-	struct comet_view *view = g_new0(struct comet_view, 1);
+	struct comet_state_snapshot *view = g_new0(struct comet_state_snapshot, 1);
 	struct comet_bundle *bundle = comet_node_bundle(daemon->node);
 	const char *not_ready = comet_node_not_ready(daemon->node);
 
@@ -178,5 +178,5 @@
 	view->status = comet_node_status(daemon->node);
 	view->metrics = metrics_text(daemon);
 	view->not_ready = not_ready != NULL ? g_strconcat(not_ready, "\n", NULL) : NULL;
-	comet_view_publish(daemon->board, view);
+	comet_state_snapshot_publish(daemon->snapshot_publisher, view);
 }
--- a/libcometspindle/adapters/daemon/view.h
+++ b/libcometspindle/adapters/daemon/state_snapshot.h
@@ -1,14 +1,14 @@
 /*
- * view.h
+ * state_snapshot.h
  * what the control thread publishes to the traffic threads: immutable, counted
  */
-#ifndef COMETSPINDLE_ADAPTERS_VIEW_H
-#define COMETSPINDLE_ADAPTERS_VIEW_H
+#ifndef COMETSPINDLE_ADAPTERS_STATE_SNAPSHOT_H
+#define COMETSPINDLE_ADAPTERS_STATE_SNAPSHOT_H
 
 #include <libcometspindle/bundle.h>
 
 /** One state of the world; replaced whole, never changed. */
-struct comet_view
+struct comet_state_snapshot
 {
 	int refs;
 	struct comet_bundle *bundle; /**< NULL: none yet */
@@ -19,20 +19,21 @@
 };
 
 /** Where the newest view is found. */
-struct comet_view_board;
+struct comet_snapshot_publisher;
 
-struct comet_view_board *
-comet_view_board_create(void *parent);
+struct comet_snapshot_publisher *
+comet_snapshot_publisher_create(void *parent);
 
 /** Takes over the view and makes it the newest. */
 void
-comet_view_publish(struct comet_view_board *board, struct comet_view *view);
+comet_state_snapshot_publish(
+	struct comet_snapshot_publisher *snapshot_publisher, struct comet_state_snapshot *view);
 
 /** @return the newest view with a reference, or NULL before the first. */
-struct comet_view *
-comet_view_get(struct comet_view_board *board);
+struct comet_state_snapshot *
+comet_state_snapshot_acquire(struct comet_snapshot_publisher *snapshot_publisher);
 
 void
-comet_view_put(struct comet_view *view);
+comet_state_snapshot_release(struct comet_state_snapshot *view);
 
 #endif
--- a/libcometspindle/adapters/endpoints/fetch.c
+++ b/libcometspindle/adapters/endpoints/fetch.c
@@ -67,7 +67,7 @@
 static void
 finish(struct comet_fetch *fetch, const char *failure)
 {
-	struct comet_fetch_answer answer = {
+	struct comet_fetch_response answer = {
 		.failure = failure,
 		.too_large = fetch->too_large,
 		.status = fetch->status,
@@ -151,7 +151,7 @@
 	comet_timer_cancel(&fetch->timer);
 	if (end == COMET_EXCHANGE_UNREACHED)
 		finish(fetch, "unreached");
-	else if (end != COMET_EXCHANGE_WHOLE)
+	else if (end != COMET_EXCHANGE_COMPLETE)
 		finish(fetch, "broken");
 	else
 		finish(fetch, NULL);
@@ -167,7 +167,7 @@
 	struct comet_fetch *fetch = talloc_zero(parent, struct comet_fetch);
 	char *bytes = g_strdup_printf(
 		"GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", request->target, request->address);
-	struct comet_exchange_request sending = {
+	struct comet_exchange_request attempt = {
 		.instance = request->address,
 		.address = request->address,
 		.bytes = bytes,
@@ -186,7 +186,7 @@
 	fetch->started_us = comet_timers_now_us();
 	fetch->body = g_byte_array_new();
 	talloc_set_destructor(fetch, fetch_destroy);
-	fetch->exchange = comet_upstream_send(upstream, fetch, &sending, &exchange_events, fetch);
+	fetch->exchange = comet_upstream_send(upstream, fetch, &attempt, &exchange_events, fetch);
 	fetch->timer = comet_timers_add(timers, fetch, request->timeout_us, on_timeout, fetch);
 	g_free(bytes);
 	return fetch;
--- a/libcometspindle/adapters/endpoints/fetch.h
+++ b/libcometspindle/adapters/endpoints/fetch.h
@@ -14,16 +14,17 @@
 /** Where to ask and for what; copied. */
 struct comet_fetch_request
 {
-	const char *address;         /**< "a.b.c.d:port" */
-	const char *target;          /**< path and query */
-	uint64_t timeout_us;         /**< until its answer begins, which then has to progress */
-	uint32_t most_bytes;         /**< of its body; 0: any proper size */
-	struct comet_bytes *counted; /**< where a new connection counts its bytes; NULL: nowhere */
-	const char *header;          /**< a header of the answer that is wanted; NULL: none */
+	const char *address; /**< "a.b.c.d:port" */
+	const char *target;  /**< path and query */
+	uint64_t timeout_us; /**< until its answer begins, which then has to progress */
+	uint32_t most_bytes; /**< of its body; 0: any proper size */
+	struct comet_byte_counters
+		*counted;   /**< where a new connection counts its bytes; NULL: nowhere */
+	const char *header; /**< a header of the answer that is wanted; NULL: none */
 };
 
 /** What came of it. */
-struct comet_fetch_answer
+struct comet_fetch_response
 {
 	const char *failure; /**< NULL: there is a whole answer; else a stable code */
 	bool too_large;      /**< that it has more bytes than were wanted is the failure */
@@ -34,7 +35,7 @@
 };
 
 /** Called once, later, never from within the call that starts it. */
-typedef void (*comet_fetch_handler)(void *ctx, const struct comet_fetch_answer *answer);
+typedef void (*comet_fetch_handler)(void *ctx, const struct comet_fetch_response *answer);
 
 struct comet_fetch;
 
--- a/libcometspindle/adapters/endpoints/reports.c
+++ b/libcometspindle/adapters/endpoints/load_poller.c
@@ -1,11 +1,11 @@
 /*
- * reports.c
+ * load_poller.c
  * polls the load reports of endpoints
  *
  * Our assumption of the wire form: GET URL/load answers
  * {"running":N,"queued":N}, describing a moment in the past.
  */
-#include <libcometspindle/adapters/endpoints/reports.h>
+#include <libcometspindle/adapters/endpoints/load_poller.h>
 
 #include <glib.h>
 #include <json-c/json.h>
@@ -17,7 +17,7 @@
 
 struct poll
 {
-	struct comet_reports *reports;
+	struct comet_load_poller *reports;
 	uint32_t endpoint_id;
 	CURL *easy;
 	bool busy;
@@ -25,10 +25,10 @@
 	size_t length;
 };
 
-struct comet_reports
+struct comet_load_poller
 {
 	struct comet_curl_loop *loop;
-	comet_reports_handler handler;
+	comet_load_poller_handler handler;
 	void *ctx;
 	GHashTable *polls; /* endpoint id -> poll */
 };
@@ -45,17 +45,17 @@
 }
 
 static int
-reports_destructor(struct comet_reports *reports)
+reports_destructor(struct comet_load_poller *reports)
 {
 	g_hash_table_destroy(reports->polls);
 	return 0;
 }
 
-struct comet_reports *
-comet_reports_create(
-	void *parent, struct comet_curl_loop *loop, comet_reports_handler handler, void *ctx)
+struct comet_load_poller *
+comet_load_poller_create(
+	void *parent, struct comet_curl_loop *loop, comet_load_poller_handler handler, void *ctx)
 {
-	struct comet_reports *reports = talloc_zero(parent, struct comet_reports);
+	struct comet_load_poller *reports = talloc_zero(parent, struct comet_load_poller);
 
 	reports->loop = loop;
 	reports->handler = handler;
@@ -105,7 +105,7 @@
 }
 
 static struct poll *
-poll_of(struct comet_reports *reports, const struct comet_endpoint *endpoint)
+poll_of(struct comet_load_poller *reports, const struct comet_endpoint *endpoint)
 {
 	gpointer id = GUINT_TO_POINTER(endpoint->id);
 	struct poll *poll = g_hash_table_lookup(reports->polls, id);
@@ -126,7 +126,7 @@
 }
 
 void
-comet_reports_poll(struct comet_reports *reports, const struct comet_endpoint *endpoint)
+comet_load_poller_poll(struct comet_load_poller *reports, const struct comet_endpoint *endpoint)
 {
 	struct poll *poll = poll_of(reports, endpoint);
 	char url[512];
--- /dev/null
+++ b/libcometspindle/adapters/endpoints/load_poller.h
@@ -0,0 +1,25 @@
+/*
+ * load_poller.h
+ * polls the load reports of endpoints
+ */
+#ifndef COMETSPINDLE_ADAPTERS_LOAD_POLLER_H
+#define COMETSPINDLE_ADAPTERS_LOAD_POLLER_H
+
+#include <libcometspindle/adapters/endpoints/curl_loop.h>
+#include <libcometspindle/bundle.h>
+#include <stdint.h>
+
+struct comet_load_poller;
+
+/** total: requests running and queued on the endpoint, some time ago. */
+typedef void (*comet_load_poller_handler)(void *ctx, uint32_t endpoint_id, uint32_t total);
+
+struct comet_load_poller *
+comet_load_poller_create(
+	void *parent, struct comet_curl_loop *loop, comet_load_poller_handler handler, void *ctx);
+
+/** Asks one endpoint, unless an answer from it is still awaited. */
+void
+comet_load_poller_poll(struct comet_load_poller *reports, const struct comet_endpoint *endpoint);
+
+#endif
--- a/libcometspindle/adapters/endpoints/reach.c
+++ b/libcometspindle/adapters/endpoints/tcp_probe.c
@@ -1,8 +1,8 @@
 /*
- * reach.c
+ * tcp_probe.c
  * whether anything listens at an address: a connection is opened and closed again, nothing is sent
  */
-#include <libcometspindle/adapters/endpoints/reach.h>
+#include <libcometspindle/adapters/endpoints/tcp_probe.h>
 
 #include <errno.h>
 #include <libcometspindle/adapters/socket.h>
@@ -11,19 +11,19 @@
 /* As long as a request's connection may take (upstream.c). */
 #define TIMEOUT_US 300000
 
-struct comet_reach
+struct comet_tcp_probe
 {
 	struct comet_socket *socket;
 	struct comet_timer *timer;
-	comet_reach_handler handler;
+	comet_tcp_probe_handler handler;
 	void *ctx;
-	enum comet_reach_result result; /* told once the timer is due */
+	enum comet_tcp_probe_result result; /* told once the timer is due */
 };
 
 static void
-finish(struct comet_reach *reach, enum comet_reach_result result)
+finish(struct comet_tcp_probe *reach, enum comet_tcp_probe_result result)
 {
-	comet_reach_handler handler = reach->handler;
+	comet_tcp_probe_handler handler = reach->handler;
 	void *ctx = reach->ctx;
 
 	talloc_free(reach);
@@ -33,7 +33,7 @@
 static void
 on_timer(void *ctx)
 {
-	struct comet_reach *reach = ctx;
+	struct comet_tcp_probe *reach = ctx;
 
 	finish(reach, reach->result);
 }
@@ -41,7 +41,7 @@
 static void
 on_connected(void *ctx)
 {
-	finish(ctx, COMET_REACH_THERE);
+	finish(ctx, COMET_TCP_PROBE_OPEN);
 }
 
 static void
@@ -55,27 +55,27 @@
 static void
 on_closed(void *ctx, bool orderly)
 {
-	struct comet_reach *reach = ctx;
+	struct comet_tcp_probe *reach = ctx;
 	bool refused = comet_socket_error(reach->socket) == ECONNREFUSED;
 
 	(void)orderly;
-	finish(reach, refused ? COMET_REACH_REFUSED : COMET_REACH_NO_WORD);
+	finish(reach, refused ? COMET_TCP_PROBE_REFUSED : COMET_TCP_PROBE_UNREACHABLE);
 }
 
 static const struct comet_socket_events socket_events = {
 	.connected = on_connected, .data = on_data, .closed = on_closed};
 
-struct comet_reach *
-comet_reach_start(struct comet_timers *timers, struct tevent_context *ev, void *parent,
-	const char *address, comet_reach_handler handler, void *ctx)
+struct comet_tcp_probe *
+comet_tcp_probe_start(struct comet_timers *timers, struct tevent_context *ev, void *parent,
+	const char *address, comet_tcp_probe_handler handler, void *ctx)
 {
-	struct comet_reach *reach = talloc_zero(parent, struct comet_reach);
+	struct comet_tcp_probe *reach = talloc_zero(parent, struct comet_tcp_probe);
 	uint64_t timeout_us = TIMEOUT_US;
 	struct sockaddr_in at;
 
 	reach->handler = handler;
 	reach->ctx = ctx;
-	reach->result = COMET_REACH_NO_WORD;
+	reach->result = COMET_TCP_PROBE_UNREACHABLE;
 	if (comet_socket_parse_address(address, &at))
 		reach->socket = comet_socket_connect(reach, ev, &at, &socket_events, reach);
 	else
@@ -83,7 +83,8 @@
 	if (reach->socket == NULL)
 	{
 		/* A loopback address refuses at once. */
-		reach->result = errno == ECONNREFUSED ? COMET_REACH_REFUSED : COMET_REACH_NO_WORD;
+		reach->result = errno == ECONNREFUSED ? COMET_TCP_PROBE_REFUSED
+						      : COMET_TCP_PROBE_UNREACHABLE;
 		timeout_us = 0;
 	}
 	reach->timer = comet_timers_add(timers, reach, timeout_us, on_timer, reach);
@@ -91,12 +92,12 @@
 }
 
 const char *
-comet_reach_result_name(enum comet_reach_result result)
+comet_tcp_probe_result_name(enum comet_tcp_probe_result result)
 {
 	static const char *const names[] = {
-		[COMET_REACH_THERE] = "there",
-		[COMET_REACH_REFUSED] = "refused",
-		[COMET_REACH_NO_WORD] = "no_word",
+		[COMET_TCP_PROBE_OPEN] = "there",
+		[COMET_TCP_PROBE_REFUSED] = "refused",
+		[COMET_TCP_PROBE_UNREACHABLE] = "no_word",
 	};
 
 	return names[result];
--- a/libcometspindle/adapters/endpoints/upstream.c
+++ b/libcometspindle/adapters/endpoints/upstream.c
@@ -6,7 +6,7 @@
 
 #include <errno.h>
 #include <libcometspindle/adapters/socket.h>
-#include <libcometspindle/gateway/wire_names.h>
+#include <libcometspindle/gateway/header_names.h>
 #include <libcometspindle/log.h>
 #include <netinet/in.h>
 #include <string.h>
@@ -168,12 +168,12 @@
 	const char *value = comet_http_head_get(head, "Keep-Alive");
 	uint32_t told_s = 0;
 
-	if (value == NULL || !comet_wire_parse_keep_alive(value, &told_s))
+	if (value == NULL || !comet_header_parse_keep_alive(value, &told_s))
 		return IDLE_DEFAULT_US;
-	uint64_t told_us = (uint64_t)MIN(told_s, KEEP_ALIVE_MAX_S) * 1000000;
-	if (told_us <= IDLE_MARGIN_US)
-		return told_us / 2;
-	return MIN(told_us - IDLE_MARGIN_US, IDLE_DEFAULT_US);
+	uint64_t reported_us = (uint64_t)MIN(told_s, KEEP_ALIVE_MAX_S) * 1000000;
+	if (reported_us <= IDLE_MARGIN_US)
+		return reported_us / 2;
+	return MIN(reported_us - IDLE_MARGIN_US, IDLE_DEFAULT_US);
 }
 
 static bool
@@ -235,7 +235,7 @@
 
 	link->keep_alive = link->keep_alive && !bytes_follow;
 	put_aside(link);
-	finish(exchange, COMET_EXCHANGE_WHOLE);
+	finish(exchange, COMET_EXCHANGE_COMPLETE);
 }
 
 static void
@@ -336,7 +336,7 @@
 	struct comet_exchange *exchange = ctx;
 
 	exchange->timer = NULL;
-	if (comet_exchange_has_news(exchange))
+	if (comet_exchange_has_pending_events(exchange))
 	{
 		exchange->timer = comet_timers_add(exchange->upstream->timers, exchange,
 			CONNECT_TIMEOUT_US, on_unreached, exchange);
@@ -459,9 +459,9 @@
 }
 
 bool
-comet_exchange_has_news(const struct comet_exchange *exchange)
+comet_exchange_has_pending_events(const struct comet_exchange *exchange)
 {
-	return exchange->link != NULL && comet_socket_has_news(exchange->link->socket);
+	return exchange->link != NULL && comet_socket_has_pending_events(exchange->link->socket);
 }
 
 void
@@ -494,7 +494,7 @@
 }
 
 void
-comet_upstream_forget(struct comet_upstream *upstream, const char *instance)
+comet_upstream_close_instance(struct comet_upstream *upstream, const char *instance)
 {
 	g_hash_table_remove(upstream->pools, instance);
 }
--- a/libcometspindle/adapters/endpoints/upstream.h
+++ b/libcometspindle/adapters/endpoints/upstream.h
@@ -9,7 +9,7 @@
 #ifndef COMETSPINDLE_ADAPTERS_UPSTREAM_H
 #define COMETSPINDLE_ADAPTERS_UPSTREAM_H
 
-#include <libcometspindle/adapters/bytes.h>
+#include <libcometspindle/adapters/byte_counters.h>
 #include <libcometspindle/adapters/http_reader.h>
 #include <libcometspindle/adapters/timers.h>
 #include <stdbool.h>
@@ -19,7 +19,7 @@
 /** How an exchange ended. */
 enum comet_exchange_end
 {
-	COMET_EXCHANGE_WHOLE,     /**< the whole answer was read */
+	COMET_EXCHANGE_COMPLETE,  /**< the whole answer was read */
 	COMET_EXCHANGE_BROKEN,    /**< the connection ended, or sent what is not an answer */
 	COMET_EXCHANGE_UNREACHED, /**< no connection: not a byte of the request left */
 };
@@ -46,7 +46,8 @@
 	/** No kept connection: one may have carried this request before, and a surplus answer to
 	 * that sending, which names the same id, may still come there. */
 	bool new_connection;
-	struct comet_bytes *counted; /**< where a new connection counts its bytes; NULL: nowhere */
+	struct comet_byte_counters
+		*counted; /**< where a new connection counts its bytes; NULL: nowhere */
 };
 
 /** Counts for metrics; monotonic but for the first two. */
@@ -81,7 +82,7 @@
 /** @return whether something of it has arrived that was not handled yet: after this process was
  * stopped, timers come before what arrived meanwhile. */
 bool
-comet_exchange_has_news(const struct comet_exchange *exchange);
+comet_exchange_has_pending_events(const struct comet_exchange *exchange);
 
 /** Looks whether the other side still holds the connection, which breaks if it does not. */
 void
@@ -93,7 +94,7 @@
 
 /** Closes the idle connections to an endpoint's process; what is in use now is not kept after. */
 void
-comet_upstream_forget(struct comet_upstream *upstream, const char *instance);
+comet_upstream_close_instance(struct comet_upstream *upstream, const char *instance);
 
 /** Counts an answer that was given up. */
 void
--- a/libcometspindle/adapters/gateway/forward_head.c
+++ b/libcometspindle/adapters/gateway/forward_head.c
@@ -8,10 +8,10 @@
 
 /* Does a caller's header go on to the endpoint? */
 static bool
-passes(const struct comet_http_head *head, const char *name, const struct comet_wire_names *names,
-	const struct comet_forward *forward)
+passes(const struct comet_http_head *head, const char *name, const struct comet_header_names *names,
+	const struct comet_forward_params *forward)
 {
-	if (comet_wire_is_reserved(names, name))
+	if (comet_header_is_reserved(names, name))
 		return false;
 	if (forward->team != NULL && strcasecmp(name, names->authorization) == 0)
 		return false;
@@ -23,7 +23,7 @@
 
 void
 comet_forward_write_head(GString *out, const struct comet_http_head *head,
-	const struct comet_wire_names *names, const struct comet_forward *forward)
+	const struct comet_header_names *names, const struct comet_forward_params *forward)
 {
 	g_string_append_printf(out, "%s %s HTTP/1.1\r\n", head->method, head->target);
 	for (size_t i = 0; i < head->n_headers; i++)
--- a/libcometspindle/adapters/gateway/forward_head.h
+++ b/libcometspindle/adapters/gateway/forward_head.h
@@ -10,10 +10,10 @@
 #define COMETSPINDLE_ADAPTERS_FORWARD_HEAD_H
 
 #include <libcometspindle/adapters/http_reader.h>
-#include <libcometspindle/gateway/wire_names.h>
+#include <libcometspindle/gateway/header_names.h>
 
 /** What the gateway says of one sending. */
-struct comet_forward
+struct comet_forward_params
 {
 	uint64_t left_ms;       /**< how long the caller still waits */
 	const char *instance;   /**< id of the endpoint that it is meant for */
@@ -25,6 +25,6 @@
 /** Appends the whole head, to the empty line. */
 void
 comet_forward_write_head(GString *out, const struct comet_http_head *head,
-	const struct comet_wire_names *names, const struct comet_forward *forward);
+	const struct comet_header_names *names, const struct comet_forward_params *forward);
 
 #endif
--- a/libcometspindle/adapters/gateway/gateway.c
+++ b/libcometspindle/adapters/gateway/gateway.c
@@ -79,12 +79,12 @@
 	if (!comet_datagram_decode(data, length, &datagram))
 		comet_log(COMET_LOG_WARNING, "event=datagram_malformed bytes=%zu", length);
 	else if (datagram.which_body == comet_Datagram_news_tag)
-		comet_gateway_take_report(gateway, &datagram.body.news, now_us);
+		comet_gateway_handle_report(gateway, &datagram.body.news, now_us);
 	else if (datagram.which_body != comet_Datagram_view_tag &&
-		 !comet_charges_receive(gateway->charges, &datagram))
+		 !comet_quota_requests_receive(gateway->charges, &datagram))
 		comet_grants_receive(gateway->grants, &datagram);
 	else if (datagram.which_body == comet_Datagram_view_tag &&
-		 !comet_views_receive(gateway->views, &datagram.body.view, now_us))
+		 !comet_gossip_receive(gateway->gossip, &datagram.body.view, now_us))
 		comet_log(COMET_LOG_WARNING, "event=view_malformed bytes=%zu", length);
 }
 
@@ -93,20 +93,20 @@
 {
 	struct comet_gateway *gateway = ctx;
 
-	comet_view_link_send(gateway->link, address, data, length);
+	comet_datagram_socket_send(gateway->link, address, data, length);
 }
 
 static void
 on_vm_changed(void *ctx, uint32_t address, bool there, const char *why)
 {
-	char text[COMET_VIEW_ADDRESS_MAX];
+	char text[COMET_IPV4_TEXT_BYTES];
 
 	(void)ctx;
 	comet_log_repeated(COMET_LOG_NOTICE, "event=vm_%s vm=%s reason=%s",
-		there ? "heard" : "lost", comet_view_link_text(address, text), why);
+		there ? "heard" : "lost", comet_datagram_socket_format_address(address, text), why);
 }
 
-static const struct comet_views_ops views_ops = {.send = send_view, .changed = on_vm_changed};
+static const struct comet_gossip_ops views_ops = {.send = send_view, .changed = on_vm_changed};
 
 /* Goes on with a stop: closes what is idle, and ends once nothing is open. */
 static void
@@ -118,9 +118,10 @@
 	if (passed_us < (uint64_t)gateway->settings->leave_ms * 1000)
 		return;
 	gateway->refusing = true;
-	comet_front_stop_listening(gateway->callers);
-	comet_front_close_idle(gateway->callers);
-	bool open = gateway->calls > 0 || comet_front_counts(gateway->callers)->connections > 0;
+	comet_http_server_stop_listening(gateway->callers);
+	comet_http_server_close_idle(gateway->callers);
+	bool open =
+		gateway->calls > 0 || comet_http_server_counts(gateway->callers)->connections > 0;
 	if (open && passed_us + STOP_MARGIN_US < grace_us)
 		return;
 	comet_log(COMET_LOG_NOTICE, "event=stopped open=%u after_ms=%" G_GUINT64_FORMAT,
@@ -133,15 +134,15 @@
 static bool
 is_finding(struct comet_gateway *gateway, uint32_t heard, uint32_t known, uint64_t now_us)
 {
-	if (heard > gateway->heard_vms)
+	if (heard > gateway->peak_alive_vms)
 	{
-		gateway->heard_vms = heard;
-		gateway->found_us = heard > 1 ? now_us : 0;
+		gateway->peak_alive_vms = heard;
+		gateway->discovered_us = heard > 1 ? now_us : 0;
 	}
-	uint64_t last_us = MAX(gateway->found_us, gateway->began_us);
+	uint64_t last_us = MAX(gateway->discovered_us, gateway->began_us);
 	uint64_t quiet_us =
-		MAX(FOUND_AFTER_US, FOUND_AFTER_ROUNDS * comet_views_interval_us(gateway->views));
-	bool unheard = heard < known && gateway->found_us == 0;
+		MAX(FOUND_AFTER_US, FOUND_AFTER_ROUNDS * comet_gossip_interval_us(gateway->gossip));
+	bool unheard = heard < known && gateway->discovered_us == 0;
 	return (now_us - last_us < quiet_us || unheard) &&
 	       now_us - gateway->began_us < FIND_LONGEST_US;
 }
@@ -150,19 +151,19 @@
 static void
 set_vms(struct comet_gateway *gateway, uint32_t heard, uint32_t known, uint64_t now_us)
 {
-	bool finding = is_finding(gateway, heard, known, now_us);
+	bool discovering = is_finding(gateway, heard, known, now_us);
 
-	if (gateway->finding && !finding)
+	if (gateway->discovering && !discovering)
 		comet_log(COMET_LOG_NOTICE, "event=vms_found vms=%u after_ms=%" G_GUINT64_FORMAT,
 			known, (now_us - gateway->began_us) / 1000);
-	gateway->finding = finding;
-	if (finding)
+	gateway->discovering = discovering;
+	if (discovering)
 	{
 		known = MAX(known, VMS_ASSUMED);
 		heard = known;
 	}
-	comet_allowance_set_vms(gateway->allowance, heard, known,
-		finding ? 0 : comet_views_silent_since_us(gateway->views));
+	comet_rate_limiter_set_vms(gateway->rate_limiter, heard, known,
+		discovering ? 0 : comet_gossip_unreachable_since_us(gateway->gossip));
 	comet_retry_budget_set_vms(gateway->retries, known);
 	comet_placement_set_vms(gateway->placement, heard, known);
 	gateway->directory->ops->set_vms(gateway->directory, heard);
@@ -178,14 +179,14 @@
 
 	comet_timers_add(gateway->timers, gateway, TICK_US, on_tick, gateway);
 	comet_log_tick();
-	comet_views_tick(gateway->views, now_us);
-	comet_views_count(gateway->views, &known, &heard);
+	comet_gossip_tick(gateway->gossip, now_us);
+	comet_gossip_count(gateway->gossip, &known, &heard);
 	set_vms(gateway, heard + 1, known + 1, now_us);
 	comet_gateway_tick_endpoints(gateway, now_us);
-	comet_crashes_tick(gateway->crashes, now_us);
-	comet_relay_refuse_barred(gateway);
+	comet_crash_tracker_tick(gateway->crash_tracker, now_us);
+	comet_proxy_request_refuse_all_quarantined(gateway);
 	comet_placement_run(gateway->placement, now_us);
-	comet_gateway_tick_readers(gateway, now_us);
+	comet_gateway_tick_reader_election(gateway, now_us);
 	comet_gateway_resync(gateway, now_us);
 	if (gateway->stop_us != 0)
 		continue_stop(gateway, now_us);
@@ -205,8 +206,8 @@
 		return;
 	gateway->stop_us = comet_timers_now_us();
 	comet_log(COMET_LOG_NOTICE, "event=stopping signal=%d open=%u", number, gateway->calls);
-	comet_front_set_closing(gateway->callers);
-	comet_views_leave(gateway->views, gateway->stop_us);
+	comet_http_server_set_draining(gateway->callers);
+	comet_gossip_leave(gateway->gossip, gateway->stop_us);
 }
 
 static void
@@ -266,26 +267,26 @@
 create_views(struct comet_gateway *gateway)
 {
 	uint32_t seeds[SEEDS_MAX];
-	struct comet_views_config config = {
-		.address = comet_view_link_address(gateway->link),
+	struct comet_gossip_config config = {
+		.address = comet_datagram_socket_address(gateway->link),
 		.seeds = seeds,
 		.n_seeds = read_seeds(gateway->settings->seeds, seeds),
 		.now_us = gateway->began_us,
-		.window_ms = gateway->settings->allowance.window_ms,
+		.window_ms = gateway->settings->rate_limiter.window_ms,
 		.zone = gateway->settings->zone,
 		.near_bytes_per_s = gateway->settings->near_bytes_per_s,
 		.far_bytes_per_s = gateway->settings->far_bytes_per_s,
 		.cpu_percent = gateway->settings->cpu_percent,
-		.crashes = gateway->crashes,
+		.crash_tracker = gateway->crash_tracker,
 	};
 
 	randombytes_buf(&config.incarnation, sizeof config.incarnation);
-	gateway->views = comet_views_create(
-		gateway, &config, gateway->instances, gateway->allowance, &views_ops, gateway);
+	gateway->gossip = comet_gossip_create(
+		gateway, &config, gateway->instances, gateway->rate_limiter, &views_ops, gateway);
 	gateway->grants =
 		comet_grants_create(gateway, config.address, &comet_gateway_grants_ops, gateway);
-	gateway->charges =
-		comet_charges_create(gateway, config.address, &comet_gateway_charges_ops, gateway);
+	gateway->charges = comet_quota_requests_create(
+		gateway, config.address, &comet_gateway_quota_ops, gateway);
 }
 
 /* Opens what the gateway listens on. @return false with error set. */
@@ -294,24 +295,26 @@
 {
 	const struct comet_gateway_settings *settings = gateway->settings;
 
-	gateway->callers = comet_front_create(gateway, gateway->ev, gateway->timers,
+	gateway->callers = comet_http_server_create(gateway, gateway->ev, gateway->timers,
 		settings->callers, &comet_gateway_caller_events, gateway, error);
 	if (gateway->callers == NULL)
 		return false;
-	gateway->readiness = comet_front_create(gateway, gateway->ev, gateway->timers,
+	gateway->readiness = comet_http_server_create(gateway, gateway->ev, gateway->timers,
 		settings->readiness, &comet_gateway_readiness_events, gateway, error);
 	if (gateway->readiness == NULL)
 		return false;
-	gateway->control = comet_front_create(gateway, gateway->ev, gateway->timers,
+	gateway->control = comet_http_server_create(gateway, gateway->ev, gateway->timers,
 		settings->control, &comet_gateway_control_events, gateway, error);
 	if (gateway->control == NULL)
 		return false;
-	comet_front_count(gateway->callers, &gateway->bytes[COMET_GATEWAY_USE_CALLERS]);
-	comet_front_count(gateway->control, &gateway->bytes[COMET_GATEWAY_USE_PEERS]);
-	comet_front_set_limits(gateway->callers, &first_limits);
-	comet_front_set_limits(gateway->readiness, &internal_limits);
-	comet_front_set_limits(gateway->control, &internal_limits);
-	gateway->link = comet_view_link_create(
+	comet_http_server_set_byte_counters(
+		gateway->callers, &gateway->bytes[COMET_GATEWAY_USE_CALLERS]);
+	comet_http_server_set_byte_counters(
+		gateway->control, &gateway->bytes[COMET_GATEWAY_USE_PEERS]);
+	comet_http_server_set_limits(gateway->callers, &first_limits);
+	comet_http_server_set_limits(gateway->readiness, &internal_limits);
+	comet_http_server_set_limits(gateway->control, &internal_limits);
+	gateway->link = comet_datagram_socket_create(
 		gateway, gateway->ev, settings->peers, on_datagram, gateway, error);
 	return gateway->link != NULL;
 }
@@ -331,22 +334,23 @@
 	const struct comet_gateway_settings *settings = gateway->settings;
 
 	gateway->instances = comet_instances_create(gateway, settings->zone);
-	gateway->lives = comet_lives_create(gateway);
+	gateway->lives = comet_incarnations_create(gateway);
 	gateway->evacuations = comet_evacuations_create(
 		gateway, gateway->instances, comet_gateway_zone_restored, gateway);
-	gateway->allowance =
-		comet_allowance_create(gateway, &settings->allowance, comet_timers_now_us());
+	gateway->rate_limiter =
+		comet_rate_limiter_create(gateway, &settings->rate_limiter, comet_timers_now_us());
 	gateway->retries = comet_retry_budget_create(gateway, &settings->retries);
-	gateway->readers = comet_readers_create(
-		gateway, (uint64_t)followed_ms(settings) * 1000, comet_draw_u32(&gateway->draw));
-	gateway->crashes = comet_crashes_create(gateway, &comet_gateway_crashes_ops, gateway);
+	gateway->reader_election = comet_reader_election_create(
+		gateway, (uint64_t)followed_ms(settings) * 1000, comet_random_u32(&gateway->draw));
+	gateway->crash_tracker =
+		comet_crash_tracker_create(gateway, &comet_gateway_crashes_ops, gateway);
 	gateway->placement = comet_placement_create(gateway, gateway->instances,
-		&comet_gateway_placement_ops, gateway, comet_draw_u32(&gateway->draw));
+		&comet_gateway_placement_ops, gateway, comet_random_u32(&gateway->draw));
 }
 
 struct comet_gateway *
 comet_gateway_create(const struct comet_gateway_settings *settings, const char *settings_path,
-	const struct comet_gateway_port *port, GError **error)
+	const struct comet_platform_adapter *port, GError **error)
 {
 	struct comet_gateway *gateway = talloc_zero(NULL, struct comet_gateway);
 	uint64_t seed = 0;
@@ -354,10 +358,10 @@
 	gateway->settings = settings;
 	gateway->settings_path = settings_path;
 	gateway->names = port->names;
-	gateway->ends = comet_tally_create(gateway);
+	gateway->ends = comet_counter_set_create(gateway);
 	gateway->began_us = comet_timers_now_us();
 	randombytes_buf(&seed, sizeof seed);
-	comet_draw_init(&gateway->draw, seed);
+	comet_random_init(&gateway->draw, seed);
 	gateway->ev = tevent_context_init(gateway);
 	gateway->timers = comet_timers_create(gateway, gateway->ev);
 	if (gateway->timers == NULL)
@@ -407,10 +411,10 @@
 	comet_log(COMET_LOG_WARNING,
 		"event=was_away away_ms=%" G_GUINT64_FORMAT " suspended_ms=%" G_GUINT64_FORMAT
 		" clock=boottime",
-		(now_us - gateway->turn_us) / 1000,
+		(now_us - gateway->last_loop_us) / 1000,
 		(all_us - MIN(gateway->suspended_us, all_us)) / 1000);
 	gateway->suspended_us = all_us;
-	gateway->away_us = now_us;
+	gateway->pause_detected_us = now_us;
 	comet_timers_hold(gateway->timers, CATCH_UP_US);
 }
 
@@ -423,9 +427,9 @@
 	if (point != TEVENT_TRACE_AFTER_WAIT)
 		return;
 	uint64_t now_us = comet_timers_now_us();
-	if (gateway->turn_us != 0 && now_us - gateway->turn_us >= AWAY_US)
+	if (gateway->last_loop_us != 0 && now_us - gateway->last_loop_us >= AWAY_US)
 		was_away(gateway, now_us);
-	gateway->turn_us = now_us;
+	gateway->last_loop_us = now_us;
 }
 
 void
--- a/libcometspindle/adapters/gateway/gateway_admit.c
+++ b/libcometspindle/adapters/gateway/gateway_admit.c
@@ -2,7 +2,7 @@
  * gateway_admit.c
  * one request at a gateway: its admission, from its arrival to its place in a queue
  */
-#include <libcometspindle/adapters/gateway/gateway_relay.h>
+#include <libcometspindle/adapters/gateway/proxy_request.h>
 
 #include <libcometspindle/log.h>
 #include <string.h>
@@ -35,12 +35,12 @@
 #define DOUBT_RETRY_MS 2000
 
 static int
-call_destroy(struct comet_relay *relay)
+call_destroy(struct comet_proxy_request *relay)
 {
 	relay->gateway->calls--;
 	g_queue_delete_link(&relay->gateway->relays, relay->open);
-	if (relay->sending != NULL) /* the process ends */
-		g_queue_delete_link(&relay->gateway->sendings, relay->sending);
+	if (relay->attempt != NULL) /* the process ends */
+		g_queue_delete_link(&relay->gateway->active_attempts, relay->attempt);
 	comet_route_table_unref(relay->table);
 	if (relay->answer != NULL)
 		g_byte_array_free(relay->answer, TRUE);
@@ -50,15 +50,15 @@
 static void
 on_deadline(void *ctx)
 {
-	struct comet_relay *relay = ctx;
+	struct comet_proxy_request *relay = ctx;
 
 	relay->deadline = NULL;
 	if (relay->exchange != NULL)
 	{
 		relay->may_have_run = relay->may_have_run || comet_exchange_sent(relay->exchange);
-		comet_relay_end_sending(relay, COMET_DISPATCH_CANCELLED);
+		comet_proxy_request_end_attempt(relay, COMET_DISPATCH_CANCELLED);
 	}
-	comet_relay_give_up(relay, 504, "deadline");
+	comet_proxy_request_fail(relay, 504, "deadline");
 }
 
 /* The key of a request's team, or NULL. */
@@ -78,31 +78,31 @@
 
 /* Sizes of the request, from what its caller tells. */
 static void
-read_job(struct comet_relay *relay)
+read_job(struct comet_proxy_request *relay)
 {
-	const struct comet_wire_names *names = relay->gateway->names;
+	const struct comet_header_names *names = relay->gateway->names;
 	const struct comet_http_head *head = relay->request->head;
 	const char *tokens = comet_http_head_get(head, names->tokens);
 	const char *hint = comet_http_head_get(head, names->output_hint);
-	struct comet_job *job = &relay->item.job;
+	struct comet_request_size *job = &relay->item.job;
 	uint32_t expected = 0;
 
-	job->stream = comet_relay_is_stream(relay);
+	job->stream = comet_proxy_request_is_stream(relay);
 	relay->charge =
 		relay->team != NULL && relay->team->in_tokens ? relay->team->default_tokens : 1;
 	if (tokens == NULL ||
-		!comet_wire_parse_tokens(tokens, &job->prompt_tokens, &job->output_tokens))
+		!comet_header_parse_tokens(tokens, &job->prompt_tokens, &job->output_tokens))
 		return;
 	job->output_most = job->output_tokens;
 	if (relay->team != NULL && relay->team->in_tokens)
 		relay->charge = (uint64_t)job->prompt_tokens + job->output_tokens;
-	if (hint != NULL && comet_wire_parse_ms(hint, &expected) && expected > 0)
+	if (hint != NULL && comet_header_parse_ms(hint, &expected) && expected > 0)
 		job->output_tokens = MIN(expected, job->output_tokens);
 }
 
 /* Which request it is, whatever id this attempt of it has. */
 static void
-read_fingerprint(struct comet_relay *relay)
+read_fingerprint(struct comet_proxy_request *relay)
 {
 	const struct comet_http_head *head = relay->request->head;
 	const GByteArray *body = relay->request->body;
@@ -120,7 +120,7 @@
 
 /* Until when the request is worth sending, and until when its caller waits. */
 static void
-read_times(struct comet_relay *relay)
+read_times(struct comet_proxy_request *relay)
 {
 	const struct comet_route *route = relay->route;
 	const char *told =
@@ -128,28 +128,28 @@
 	uint64_t patience_ms = UINT32_MAX;
 	uint32_t deadline_ms = 0;
 
-	if (told != NULL && comet_wire_parse_ms(told, &deadline_ms))
+	if (told != NULL && comet_header_parse_ms(told, &deadline_ms))
 		patience_ms = deadline_ms;
 	if (route->timeout_ms > 0)
 		patience_ms = MIN(patience_ms, route->timeout_ms);
 	relay->end_us = relay->arrived_us + patience_ms * 1000;
-	if (comet_relay_is_stream(relay))
+	if (comet_proxy_request_is_stream(relay))
 	{
 		uint64_t first_ms = MAX(PATIENCE_MIN_MS, (uint64_t)PATIENCE_AIMS * route->aim_ms);
 		first_ms = MAX(first_ms, (uint64_t)PATIENCE_GAPS * route->gap_ms);
 		patience_ms = MIN(patience_ms, first_ms);
 	}
-	relay->item.latest_us =
+	relay->item.dispatch_deadline_us =
 		relay->arrived_us + (uint64_t)((double)patience_ms * 1000 * (1 - WORK_PART));
 	relay->item.end_us = relay->end_us;
-	relay->item.aim_us =
+	relay->item.soft_deadline_us =
 		route->aim_ms > 0 ? relay->arrived_us + (uint64_t)route->aim_ms * 1000 : 0;
 	relay->item.early_us = relay->arrived_us + (uint64_t)route->aim_ms * 1000 / EARLY_PART;
 }
 
 /* Hands the request to placement. */
 static void
-place(struct comet_relay *relay, uint64_t now_us)
+place(struct comet_proxy_request *relay, uint64_t now_us)
 {
 	struct comet_gateway *gateway = relay->gateway;
 	struct comet_placement_item *item = &relay->item;
@@ -159,9 +159,9 @@
 	item->team_rank =
 		relay->team != NULL && relay->team->has_priority ? relay->team->priority : 0;
 	item->route_rank = relay->route->priority;
-	item->repeatable = comet_route_repeatable(relay->route) && relay->route->max_attempts > 1;
+	item->repeatable = comet_route_is_retryable(relay->route) && relay->route->max_attempts > 1;
 	relay->answer = g_byte_array_new();
-	if (comet_relay_is_stream(relay))
+	if (comet_proxy_request_is_stream(relay))
 		relay->events = comet_event_stream_create(relay);
 	if (relay->end_us > now_us)
 		relay->deadline = comet_timers_add(
@@ -172,7 +172,7 @@
 
 /* Finds the team of a request's key. @return false when it was answered. */
 static bool
-find_team(struct comet_relay *relay)
+find_team(struct comet_proxy_request *relay)
 {
 	struct comet_gateway *gateway = relay->gateway;
 
@@ -183,13 +183,13 @@
 	if (relay->team != NULL)
 		return true;
 	gateway->counts.refused_other++;
-	comet_relay_answer(relay, 401, "unknown_key", 0);
+	comet_proxy_request_respond_error(relay, 401, "unknown_key", 0);
 	return false;
 }
 
 /* Finds the route of a request. @return false when it was answered. */
 static bool
-find_route(struct comet_relay *relay)
+find_route(struct comet_proxy_request *relay)
 {
 	struct comet_gateway *gateway = relay->gateway;
 	const struct comet_http_head *head = relay->request->head;
@@ -199,14 +199,14 @@
 		comet_http_head_count(head, "Host") != 1)
 	{
 		gateway->counts.refused_other++;
-		comet_relay_answer(relay, 400, "malformed", 0);
+		comet_proxy_request_respond_error(relay, 400, "malformed", 0);
 		return false;
 	}
 	relay->route = comet_route_table_find(relay->table, host, head->target);
 	if (relay->route == NULL)
 	{
 		gateway->counts.refused_other++;
-		comet_relay_answer(relay, 404, "no_route", 0);
+		comet_proxy_request_respond_error(relay, 404, "no_route", 0);
 		return false;
 	}
 	return true;
@@ -214,13 +214,13 @@
 
 /* It is charged: places it. */
 static void
-admit(struct comet_relay *relay, uint64_t now_us)
+admit(struct comet_proxy_request *relay, uint64_t now_us)
 {
 	struct comet_gateway *gateway = relay->gateway;
 
 	read_times(relay);
 	relay->service = talloc_strdup(
-		relay, comet_route_pick_service(relay->route, comet_draw_u32(&gateway->draw)));
+		relay, comet_route_pick_service(relay->route, comet_random_u32(&gateway->draw)));
 	comet_log(COMET_LOG_INFO,
 		"event=admitted request=%s fingerprint=%016" G_GINT64_MODIFIER
 		"x route=%s service=%s team=%s prompt=%u output=%u most=%u "
@@ -234,17 +234,17 @@
 
 /* Nothing can be admitted before the routes are known. */
 static void
-refuse_not_ready(struct comet_gateway *gateway, struct comet_front_request *request)
+refuse_not_ready(struct comet_gateway *gateway, struct comet_http_server_request *request)
 {
 	const char *headers = gateway->directory_lost ? "Retry-After: " OUTAGE_RETRY_S "\r\n"
 						      : "Retry-After: " NOT_READY_RETRY_S "\r\n";
 
 	gateway->counts.refused_other++;
-	comet_front_answer(request, 503, headers, "", 0);
+	comet_http_server_respond(request, 503, headers, "", 0);
 }
 
 void
-comet_relay_take(void *ctx, struct comet_front_request *request)
+comet_proxy_request_handle(void *ctx, struct comet_http_server_request *request)
 {
 	struct comet_gateway *gateway = ctx;
 
@@ -257,10 +257,11 @@
 	{
 		/* Too late to be finished before this process ends: others take it at once. */
 		gateway->counts.refused_early++;
-		comet_front_answer(request, 503, "Retry-After: " STOPPING_RETRY_S "\r\n", "", 0);
+		comet_http_server_respond(
+			request, 503, "Retry-After: " STOPPING_RETRY_S "\r\n", "", 0);
 		return;
 	}
-	struct comet_relay *relay = talloc_zero(gateway, struct comet_relay);
+	struct comet_proxy_request *relay = talloc_zero(gateway, struct comet_proxy_request);
 	gateway->calls++;
 	g_queue_push_tail(&gateway->relays, relay);
 	relay->open = g_queue_peek_tail_link(&gateway->relays);
@@ -274,16 +275,17 @@
 	if (!find_route(relay) || !find_team(relay))
 		return;
 	read_fingerprint(relay);
-	if (comet_relay_is_barred(relay))
+	if (comet_proxy_request_is_quarantined(relay))
 	{
-		comet_relay_refuse_for_good(relay);
+		comet_proxy_request_refuse_quarantined(relay);
 		return;
 	}
-	if (comet_crashes_doubts(gateway->crashes, &relay->fingerprint, comet_timers_now_us()))
+	if (comet_crash_tracker_is_undecided(
+		    gateway->crash_tracker, &relay->fingerprint, comet_timers_now_us()))
 	{
-		comet_relay_refuse(relay, "may_crash_endpoints", DOUBT_RETRY_MS);
+		comet_proxy_request_refuse(relay, "may_crash_endpoints", DOUBT_RETRY_MS);
 		return;
 	}
 	read_job(relay);
-	comet_relay_charge(relay, admit);
+	comet_proxy_request_charge(relay, admit);
 }
--- a/libcometspindle/adapters/gateway/gateway_crashes.c
+++ b/libcometspindle/adapters/gateway/gateway_crashes.c
@@ -4,7 +4,7 @@
  */
 #include <libcometspindle/adapters/gateway/gateway_crashes.h>
 
-#include <libcometspindle/adapters/endpoints/reach.h>
+#include <libcometspindle/adapters/endpoints/tcp_probe.h>
 #include <libcometspindle/log.h>
 #include <string.h>
 #include <talloc.h>
@@ -26,47 +26,48 @@
 	struct comet_gateway *gateway;
 	struct comet_timer *again;
 	char *id;
-	uint64_t born_ms;
+	uint64_t process_start_ms;
 	uint64_t began_us;
 	uint32_t refusals;
 };
 
 static const char *
-news_name(enum comet_crashes_news news)
+news_name(enum comet_crash_tracker_event news)
 {
 	static const char *const names[] = {
-		[COMET_CRASHES_COUNTED] = "counted",
-		[COMET_CRASHES_BARRED] = "barred",
-		[COMET_CRASHES_RELEASED] = "released",
-		[COMET_CRASHES_EXCUSED] = "excused",
+		[COMET_CRASH_TRACKER_COUNTED] = "counted",
+		[COMET_CRASH_TRACKER_QUARANTINED] = "barred",
+		[COMET_CRASH_TRACKER_RELEASED] = "released",
+		[COMET_CRASH_TRACKER_CLEARED] = "excused",
 	};
 
 	return names[news];
 }
 
 static void
-on_news(void *ctx, const struct comet_fingerprint *request, enum comet_crashes_news news,
+on_news(void *ctx, const struct comet_fingerprint *request, enum comet_crash_tracker_event news,
 	uint32_t lives, bool own)
 {
 	struct comet_gateway *gateway = ctx;
 
 	comet_log_writer *write = own ? comet_log : comet_log_repeated;
 
-	write(news == COMET_CRASHES_COUNTED ? COMET_LOG_INFO : COMET_LOG_NOTICE,
+	write(news == COMET_CRASH_TRACKER_COUNTED ? COMET_LOG_INFO : COMET_LOG_NOTICE,
 		"event=request_%s fingerprint=%016" G_GINT64_MODIFIER
 		"x team_hash=%08x crashes=%u told=%d",
 		news_name(news), request->digest, request->team, lives, !own);
 	if (own) /* what another VM has told is on its way to all */
-		comet_views_tell_soon(gateway->views);
-	gateway->barred_anew = gateway->barred_anew || news == COMET_CRASHES_BARRED;
+		comet_gossip_schedule_broadcast(gateway->gossip);
+	gateway->newly_quarantined =
+		gateway->newly_quarantined || news == COMET_CRASH_TRACKER_QUARANTINED;
 }
 
-const struct comet_crashes_ops comet_gateway_crashes_ops = {.news = on_news};
+const struct comet_crash_tracker_ops comet_gateway_crashes_ops = {.news = on_news};
 
 static int
 look_destroy(struct look *look)
 {
-	look->gateway->looks = g_list_remove(look->gateway->looks, look);
+	look->gateway->crash_checks = g_list_remove(look->gateway->crash_checks, look);
 	return 0;
 }
 
@@ -76,23 +77,24 @@
 {
 	struct comet_instance *instance = comet_instances_find(look->gateway->instances, look->id);
 
-	return instance != NULL && instance->born_ms == look->born_ms ? instance : NULL;
+	return instance != NULL && instance->process_start_ms == look->process_start_ms ? instance
+											: NULL;
 }
 
 static void
 on_look(void *ctx);
 
 static void
-on_looked(void *ctx, enum comet_reach_result result)
+on_looked(void *ctx, enum comet_tcp_probe_result result)
 {
 	struct look *look = ctx;
 	const struct comet_instance *instance = looked_at(look);
 
-	if (instance == NULL || result != COMET_REACH_REFUSED ||
-		instance->heard_us > look->began_us)
+	if (instance == NULL || result != COMET_TCP_PROBE_REFUSED ||
+		instance->last_seen_us > look->began_us)
 	{
 		comet_log(COMET_LOG_INFO, "event=endpoint_looked_at endpoint=%s found=%s", look->id,
-			instance == NULL ? "gone" : comet_reach_result_name(result));
+			instance == NULL ? "gone" : comet_tcp_probe_result_name(result));
 		talloc_free(look); /* what the directory tells will show it */
 		return;
 	}
@@ -103,7 +105,7 @@
 			comet_timers_add(look->gateway->timers, look, LOOK_AGAIN_US, on_look, look);
 		return;
 	}
-	comet_gateway_life_ended(look->gateway, instance, "refuses_connections");
+	comet_gateway_process_crashed(look->gateway, instance, "refuses_connections");
 	talloc_free(look);
 }
 
@@ -118,17 +120,18 @@
 	if (instance == NULL)
 		talloc_free(look);
 	else
-		comet_reach_start(
+		comet_tcp_probe_start(
 			gateway->timers, gateway->ev, look, instance->address, on_looked, look);
 }
 
 static bool
 is_looked_at(const struct comet_gateway *gateway, const struct comet_instance *instance)
 {
-	for (GList *at = gateway->looks; at != NULL; at = at->next)
+	for (GList *at = gateway->crash_checks; at != NULL; at = at->next)
 	{
 		const struct look *look = at->data;
-		if (look->born_ms == instance->born_ms && strcmp(look->id, instance->id) == 0)
+		if (look->process_start_ms == instance->process_start_ms &&
+			strcmp(look->id, instance->id) == 0)
 			return true;
 	}
 	return false;
@@ -139,14 +142,14 @@
 static void
 look_at(struct comet_gateway *gateway, const struct comet_instance *instance)
 {
-	if (is_looked_at(gateway, instance) || g_list_length(gateway->looks) >= LOOKS_MAX)
+	if (is_looked_at(gateway, instance) || g_list_length(gateway->crash_checks) >= LOOKS_MAX)
 		return;
 	struct look *look = talloc_zero(gateway, struct look);
 	look->gateway = gateway;
 	look->id = talloc_strdup(look, instance->id);
-	look->born_ms = instance->born_ms;
+	look->process_start_ms = instance->process_start_ms;
 	look->began_us = comet_timers_now_us();
-	gateway->looks = g_list_prepend(gateway->looks, look);
+	gateway->crash_checks = g_list_prepend(gateway->crash_checks, look);
 	talloc_set_destructor(look, look_destroy);
 	look->again = comet_timers_add(gateway->timers, look, 0, on_look, look);
 }
@@ -170,7 +173,7 @@
 
 /* May this run have ended because the process crashed? */
 static bool
-is_suspect(const struct comet_relay *relay, enum comet_dispatch_result result)
+is_suspect(const struct comet_proxy_request *relay, enum comet_dispatch_result result)
 {
 	if (relay->not_run)
 		return false;
@@ -185,27 +188,27 @@
 }
 
 void
-comet_gateway_run_ends(struct comet_relay *relay, enum comet_dispatch_result result)
+comet_gateway_attempt_ending(struct comet_proxy_request *relay, enum comet_dispatch_result result)
 {
 	struct comet_gateway *gateway = relay->gateway;
-	const struct comet_instance *instance = comet_relay_instance(relay);
+	const struct comet_instance *instance = comet_proxy_request_instance(relay);
 	uint64_t now_us = comet_timers_now_us();
 
 	if (result == COMET_DISPATCH_SERVED && is_proof(relay->head))
-		comet_crashes_served(gateway->crashes, &relay->fingerprint, now_us);
-	if (instance != NULL && result == COMET_DISPATCH_WRONG)
-		comet_gateway_life_ended(gateway, instance, "address_taken");
+		comet_crash_tracker_served(gateway->crash_tracker, &relay->fingerprint, now_us);
+	if (instance != NULL && result == COMET_DISPATCH_WRONG_INSTANCE)
+		comet_gateway_process_crashed(gateway, instance, "address_taken");
 	if (!is_suspect(relay, result))
 		return;
-	uint64_t heard_us = instance != NULL ? instance->heard_us : relay->last_us;
-	struct comet_crashes_run run = {
+	uint64_t last_seen_us = instance != NULL ? instance->last_seen_us : relay->last_us;
+	struct comet_crash_tracker_run run = {
 		.request = relay->fingerprint,
-		.life = relay->life,
-		.heard_us = heard_us,
+		.incarnation_key = relay->incarnation_key,
+		.last_seen_us = last_seen_us,
 		.cancelled = result == COMET_DISPATCH_CANCELLED &&
-			     now_us - MAX(heard_us, relay->sent_us) < UNHEARD_US,
+			     now_us - MAX(last_seen_us, relay->sent_us) < UNHEARD_US,
 	};
-	comet_crashes_suspect(gateway->crashes, &run, now_us);
+	comet_crash_tracker_add_suspect(gateway->crash_tracker, &run, now_us);
 	if (instance != NULL && !run.cancelled && result != COMET_DISPATCH_SERVED)
 		look_at(gateway, instance);
 }
@@ -215,30 +218,30 @@
 suspect_unheard(
 	struct comet_gateway *gateway, const struct comet_instance *instance, uint64_t now_us)
 {
-	for (GList *at = gateway->sendings.head; at != NULL; at = at->next)
+	for (GList *at = gateway->active_attempts.head; at != NULL; at = at->next)
 	{
-		const struct comet_relay *relay = at->data;
-		uint64_t heard_us = MAX(instance->heard_us, relay->sent_us);
-		if (relay->life != instance->key || now_us - heard_us < UNHEARD_US)
+		const struct comet_proxy_request *relay = at->data;
+		uint64_t last_seen_us = MAX(instance->last_seen_us, relay->sent_us);
+		if (relay->incarnation_key != instance->key || now_us - last_seen_us < UNHEARD_US)
 			continue;
-		struct comet_crashes_run run = {
+		struct comet_crash_tracker_run run = {
 			.request = relay->fingerprint,
-			.life = relay->life,
-			.heard_us = instance->heard_us,
+			.incarnation_key = relay->incarnation_key,
+			.last_seen_us = instance->last_seen_us,
 		};
-		comet_crashes_suspect(gateway->crashes, &run, now_us);
+		comet_crash_tracker_add_suspect(gateway->crash_tracker, &run, now_us);
 	}
 }
 
 void
-comet_gateway_life_ended(
+comet_gateway_process_crashed(
 	struct comet_gateway *gateway, const struct comet_instance *instance, const char *why)
 {
 	uint64_t now_us = comet_timers_now_us();
 
 	if (instance->draining)
 	{
-		comet_crashes_life_left(gateway->crashes, instance->key);
+		comet_crash_tracker_process_exited(gateway->crash_tracker, instance->key);
 		return;
 	}
 	suspect_unheard(gateway, instance, now_us);
@@ -246,6 +249,7 @@
 		"event=endpoint_ended endpoint=%s reason=%s open=%u "
 		"heard_ms_ago=%" G_GUINT64_FORMAT,
 		instance->id, why, instance->own,
-		instance->heard_us != 0 ? (now_us - instance->heard_us) / 1000 : 0);
-	comet_crashes_life_ended(gateway->crashes, instance->key, instance->heard_us, now_us);
+		instance->last_seen_us != 0 ? (now_us - instance->last_seen_us) / 1000 : 0);
+	comet_crash_tracker_process_crashed(
+		gateway->crash_tracker, instance->key, instance->last_seen_us, now_us);
 }
--- a/libcometspindle/adapters/gateway/gateway_crashes.h
+++ b/libcometspindle/adapters/gateway/gateway_crashes.h
@@ -5,19 +5,19 @@
 #ifndef COMETSPINDLE_ADAPTERS_GATEWAY_CRASHES_H
 #define COMETSPINDLE_ADAPTERS_GATEWAY_CRASHES_H
 
-#include <libcometspindle/adapters/gateway/gateway_relay.h>
-#include <libcometspindle/gateway/admission/crashes.h>
+#include <libcometspindle/adapters/gateway/proxy_request.h>
+#include <libcometspindle/gateway/admission/crash_tracker.h>
 
 /** What becomes known of requests (crashes.h). */
-extern const struct comet_crashes_ops comet_gateway_crashes_ops;
+extern const struct comet_crash_tracker_ops comet_gateway_crashes_ops;
 
 /** A request's run is about to end with this result: it is suspected if it has no answer. */
 void
-comet_gateway_run_ends(struct comet_relay *relay, enum comet_dispatch_result result);
+comet_gateway_attempt_ending(struct comet_proxy_request *relay, enum comet_dispatch_result result);
 
 /** A life of an endpoint's process is over; why: a stable code for the log. */
 void
-comet_gateway_life_ended(
+comet_gateway_process_crashed(
 	struct comet_gateway *gateway, const struct comet_instance *instance, const char *why);
 
 #endif
--- a/libcometspindle/adapters/gateway/gateway_directory.c
+++ b/libcometspindle/adapters/gateway/gateway_directory.c
@@ -32,7 +32,7 @@
 	struct comet_gateway *gateway = ctx;
 	const struct comet_gateway_settings *settings = gateway->settings;
 	bool bounded = settings->cold_overage > 0 && service->cold_per_s > 0;
-	const struct comet_slow_start_bounds bounds = {
+	const struct comet_slow_start_config bounds = {
 		.cold_us = (uint64_t)service->cold_ms * 1000,
 		.most_per_s = bounded ? service->cold_per_s * settings->cold_overage +
 						settings->cold_slack
@@ -56,13 +56,13 @@
 	comet_log(COMET_LOG_NOTICE,
 		"event=routes_taken version=%" G_GUINT64_FORMAT " lag_ms=%" G_GUINT64_FORMAT,
 		version, lag_us / 1000);
-	comet_latency_add(&gateway->routes_lag, lag_us);
+	comet_latency_histogram_add(&gateway->routes_lag, lag_us);
 	comet_route_table_each_team(table, log_team, gateway);
 	comet_route_table_unref(gateway->table);
 	gateway->table = table;
 	comet_route_table_each_service(table, bound_cold_endpoints, gateway);
-	comet_allowance_set_teams(gateway->allowance, table, comet_timers_now_us());
-	comet_front_set_limits(gateway->callers, comet_route_table_limits(table));
+	comet_rate_limiter_set_teams(gateway->rate_limiter, table, comet_timers_now_us());
+	comet_http_server_set_limits(gateway->callers, comet_route_table_limits(table));
 }
 
 static void
@@ -74,9 +74,9 @@
 
 	comet_log(COMET_LOG_NOTICE, "event=endpoint_gone endpoint=%s reason=lapse_over", id);
 	if (instance != NULL)
-		comet_gateway_life_ended(gateway, instance, "lapse_over");
-	comet_upstream_forget(gateway->upstream, id);
-	comet_lives_forget_lapsed(gateway->lives, id);
+		comet_gateway_process_crashed(gateway, instance, "lapse_over");
+	comet_upstream_close_instance(gateway->upstream, id);
+	comet_incarnations_expire(gateway->lives, id);
 }
 
 static void
@@ -90,8 +90,10 @@
 		"event=endpoint_gone endpoint=%s reason=%s draining=%d open=%u "
 		"heard_ms_ago=%" G_GUINT64_FORMAT,
 		id, reason, instance->draining, instance->own,
-		instance->heard_us != 0 ? (comet_timers_now_us() - instance->heard_us) / 1000 : 0);
-	comet_upstream_forget(gateway->upstream, id);
+		instance->last_seen_us != 0
+			? (comet_timers_now_us() - instance->last_seen_us) / 1000
+			: 0);
+	comet_upstream_close_instance(gateway->upstream, id);
 	comet_instances_remove(gateway->instances, id);
 }
 
@@ -110,7 +112,7 @@
 	const struct comet_instance *known, const struct comet_instance_record *record, bool first)
 {
 	if (known != NULL && known->draining == record->draining && known->listed &&
-		known->born_ms == record->born_ms && !has_moved(known, record))
+		known->process_start_ms == record->process_start_ms && !has_moved(known, record))
 		return;
 	comet_log_writer *write = first ? comet_log_repeated : comet_log;
 
@@ -118,8 +120,8 @@
 		"event=endpoint_listed endpoint=%s service=%s address=%s zone=%s slots=%u "
 		"draining=%d born=%" G_GUINT64_FORMAT " reborn=%d",
 		record->id, record->service, record->address, record->zone, record->slots,
-		record->draining, record->born_ms,
-		known != NULL && known->born_ms != record->born_ms);
+		record->draining, record->process_start_ms,
+		known != NULL && known->process_start_ms != record->process_start_ms);
 }
 
 /* An address that is looked for, and the gateway. */
@@ -135,7 +137,7 @@
 	const struct same_address *same = ctx;
 
 	if (strcmp(instance->address, same->address) == 0)
-		comet_gateway_life_ended(same->gateway, instance, "address_taken");
+		comet_gateway_process_crashed(same->gateway, instance, "address_taken");
 }
 
 /* A new process has an address: the one that had it before is over. */
@@ -152,19 +154,20 @@
 take_instance(struct comet_gateway *gateway, const struct comet_instance_record *record)
 {
 	const struct comet_instance *known = comet_instances_find(gateway->instances, record->id);
-	bool reborn = known != NULL && known->born_ms != record->born_ms;
+	bool reborn = known != NULL && known->process_start_ms != record->process_start_ms;
 	bool moved = has_moved(known, record);
 
 	log_listed(known, record, !gateway->listed);
 	if (reborn)
-		comet_gateway_life_ended(gateway, known, "started_again");
+		comet_gateway_process_crashed(gateway, known, "started_again");
 	if (known == NULL && gateway->listed) /* before that nobody was there */
 		end_earlier_at(gateway, record->address);
 	comet_instances_put(gateway->instances, record, comet_timers_now_us());
 	if (record->draining || reborn || moved)
-		comet_upstream_forget(gateway->upstream, record->id);
+		comet_upstream_close_instance(gateway->upstream, record->id);
 	if (reborn)
-		comet_relay_probe_earlier_life(gateway, record->id, record->born_ms);
+		comet_proxy_request_probe_previous_incarnation(
+			gateway, record->id, record->process_start_ms);
 }
 
 static void
@@ -172,19 +175,19 @@
 {
 	struct comet_gateway *gateway = ctx;
 
-	switch (comet_lives_tell(gateway->lives, record, comet_timers_now_us()))
+	switch (comet_incarnations_observe(gateway->lives, record, comet_timers_now_us()))
 	{
-	case COMET_LIFE_LATEST:
+	case COMET_INCARNATION_LATEST:
 		take_instance(gateway, record);
 		break;
-	case COMET_LIFE_EARLIER:
+	case COMET_INCARNATION_EARLIER:
 		comet_log(COMET_LOG_NOTICE,
 			"event=earlier_life_ignored endpoint=%s born=%" G_GUINT64_FORMAT
 			" known=%" G_GUINT64_FORMAT,
-			record->id, record->born_ms,
-			comet_lives_born_ms(gateway->lives, record->id));
+			record->id, record->process_start_ms,
+			comet_incarnations_start_ms(gateway->lives, record->id));
 		break;
-	case COMET_LIFE_UNTOLD:
+	case COMET_INCARNATION_UNSPECIFIED:
 		gateway->counts.unreadable++;
 		drop_endpoint(gateway, record->id, "life_untold");
 		break;
@@ -196,7 +199,7 @@
 {
 	comet_log(COMET_LOG_NOTICE,
 		"event=earlier_life_believed endpoint=%s born=%" G_GUINT64_FORMAT, record->id,
-		record->born_ms);
+		record->process_start_ms);
 	take_instance(ctx, record);
 }
 
@@ -205,31 +208,32 @@
 {
 	comet_instances_tick(gateway->instances, now_us, on_dropped, gateway);
 	comet_evacuations_tick(gateway->evacuations, now_us);
-	comet_lives_tick(gateway->lives, now_us, on_earlier_believed, gateway);
+	comet_incarnations_tick(gateway->lives, now_us, on_earlier_believed, gateway);
 }
 
 static void
-on_instance_gone(void *ctx, const char *id, uint64_t out_us)
+on_instance_gone(void *ctx, const char *id, uint64_t outage_us)
 {
 	struct comet_gateway *gateway = ctx;
-	const struct comet_lapse_bounds bounds = {
+	const struct comet_expiry_config bounds = {
 		.usual_us = (uint64_t)gateway->settings->lapse_ms * 1000,
 		.settled_us = (uint64_t)gateway->settings->settled_ms * 1000,
 	};
 	uint64_t now_us = comet_timers_now_us();
 
-	if (out_us != 0 && comet_instances_lapse(gateway->instances, id, out_us, &bounds, now_us))
+	if (outage_us != 0 &&
+		comet_instances_schedule_expiry(gateway->instances, id, outage_us, &bounds, now_us))
 	{
 		comet_log(COMET_LOG_NOTICE,
 			"event=endpoint_lapsed endpoint=%s out_ms_ago=%" G_GUINT64_FORMAT, id,
-			(now_us - out_us) / 1000);
-		comet_lives_lapse(gateway->lives, id);
+			(now_us - outage_us) / 1000);
+		comet_incarnations_schedule_expiry(gateway->lives, id);
 		return;
 	}
 	const struct comet_instance *instance = comet_instances_find(gateway->instances, id);
 	if (instance != NULL)
-		comet_gateway_life_ended(gateway, instance, "removed");
-	comet_lives_forget(gateway->lives, id);
+		comet_gateway_process_crashed(gateway, instance, "removed");
+	comet_incarnations_forget(gateway->lives, id);
 	drop_endpoint(gateway, id, "removed");
 }
 
@@ -273,20 +277,20 @@
 }
 
 static void
-on_restored(void *ctx, const char *zone, bool doubtful)
+on_restored(void *ctx, const char *zone, bool tentative)
 {
 	struct comet_gateway *gateway = ctx;
 	uint64_t now_us = comet_timers_now_us();
 	uint64_t settled_us = (uint64_t)gateway->settings->settled_ms * 1000;
 
-	if (doubtful)
-		comet_evacuations_doubt(gateway->evacuations, zone, now_us + settled_us);
+	if (tentative)
+		comet_evacuations_schedule_expiry(gateway->evacuations, zone, now_us + settled_us);
 	else
 		comet_evacuations_end(gateway->evacuations, zone, now_us);
 }
 
 static void
-on_refused(void *ctx, const struct comet_directory_refusal *refusal)
+on_refused(void *ctx, const struct comet_directory_invalid_item *refusal)
 {
 	struct comet_gateway *gateway = ctx;
 
@@ -310,20 +314,20 @@
 		gateway->stale_us = 0; /* whoever is still ahead is so from now */
 	gateway->position = position;
 	gateway->endpoints_position = endpoints;
-	comet_views_set_revision(gateway->views, position);
+	comet_gossip_set_revision(gateway->gossip, position);
 	comet_gateway_report_position(gateway, comet_timers_now_us());
 	comet_placement_run(gateway->placement, comet_timers_now_us());
 }
 
 static void
-on_era(void *ctx, uint64_t era, uint64_t before)
+on_era(void *ctx, uint64_t epoch, uint64_t before)
 {
 	struct comet_gateway *gateway = ctx;
 
 	comet_log(COMET_LOG_NOTICE,
 		"event=directory_era era=%" G_GUINT64_FORMAT " before=%" G_GUINT64_FORMAT
 		" revision=%" G_GUINT64_FORMAT,
-		era, before, comet_directory_revision(gateway->position));
+		epoch, before, comet_directory_revision(gateway->position));
 }
 
 static void
@@ -367,7 +371,7 @@
 	.restored = on_restored,
 	.refused = on_refused,
 	.revision = on_revision,
-	.era = on_era,
+	.epoch = on_era,
 	.called = on_called,
 	.answered = on_answered,
 	.dependency = on_dependency,
--- a/libcometspindle/adapters/gateway/gateway_grants.c
+++ b/libcometspindle/adapters/gateway/gateway_grants.c
@@ -2,7 +2,7 @@
  * gateway_grants.c
  * slots asked for at other VMs, and granted to them: what connects placement, views and grants
  */
-#include <libcometspindle/adapters/gateway/gateway_relay.h>
+#include <libcometspindle/adapters/gateway/proxy_request.h>
 
 #include <libcometspindle/log.h>
 
@@ -17,9 +17,9 @@
 {
 	struct comet_gateway *gateway = ctx;
 
-	gateway->asks_timer = NULL;
+	gateway->grants_timer = NULL;
 	if (comet_grants_tick(gateway->grants, comet_timers_now_us()))
-		gateway->asks_timer = comet_timers_add(
+		gateway->grants_timer = comet_timers_add(
 			gateway->timers, gateway, ASKS_TICK_US, on_asks_tick, gateway);
 }
 
@@ -35,7 +35,7 @@
 {
 	const struct mute_query *query = ctx;
 
-	return comet_grants_is_mute(query->grants, vm, query->now_us);
+	return comet_grants_is_unresponsive(query->grants, vm, query->now_us);
 }
 
 /* Who keeps count of a shard: 0 when nobody does, or none is to be asked. A VM that died goes on
@@ -47,47 +47,47 @@
 
 	if (!gateway->settings->ask_keepers)
 		return 0;
-	if (shard->keeper_us == 0 || now_us - shard->keeper_us >= KEEPER_FRESH_US ||
+	if (shard->owner_checked_us == 0 || now_us - shard->owner_checked_us >= KEEPER_FRESH_US ||
 		is_mute(&query, shard->keeper))
 	{
-		shard->keeper = comet_views_keeper_but(
-			gateway->views, shard->id, shard->zone_id, is_mute, &query, now_us);
-		shard->keeper_us = now_us;
+		shard->keeper = comet_gossip_find_responsive_owner(
+			gateway->gossip, shard->id, shard->zone_id, is_mute, &query, now_us);
+		shard->owner_checked_us = now_us;
 	}
 	return shard->keeper;
 }
 
-enum comet_placement_keeper
-comet_gateway_keeper(void *ctx, struct comet_shard *shard)
+enum comet_placement_owner
+comet_gateway_find_shard_owner(void *ctx, struct comet_shard *shard)
 {
 	const struct comet_gateway *gateway = ctx;
 	uint64_t now_us = comet_timers_now_us();
 	uint32_t keeper = keeper_of(gateway, shard, now_us);
 
-	if (keeper == comet_view_link_address(gateway->link))
-		return COMET_PLACEMENT_KEEPER_SELF;
+	if (keeper == comet_datagram_socket_address(gateway->link))
+		return COMET_PLACEMENT_OWNER_SELF;
 	if (keeper == 0)
-		return COMET_PLACEMENT_KEEPER_NONE;
-	return COMET_PLACEMENT_KEEPER_OTHER;
+		return COMET_PLACEMENT_OWNER_NONE;
+	return COMET_PLACEMENT_OWNER_OTHER;
 }
 
 void
-comet_gateway_ask(void *ctx, struct comet_placement_item *item, struct comet_shard *shard,
-	const struct comet_placement_ask *ask)
+comet_gateway_request_slot(void *ctx, struct comet_placement_item *item, struct comet_shard *shard,
+	const struct comet_slot_request *ask)
 {
 	struct comet_gateway *gateway = ctx;
 	uint64_t now_us = comet_timers_now_us();
 
-	comet_grants_ask(gateway->grants, item, keeper_of(gateway, shard, now_us), ask, now_us);
-	if (gateway->asks_timer == NULL)
-		gateway->asks_timer = comet_timers_add(
+	comet_grants_request(gateway->grants, item, keeper_of(gateway, shard, now_us), ask, now_us);
+	if (gateway->grants_timer == NULL)
+		gateway->grants_timer = comet_timers_add(
 			gateway->timers, gateway, ASKS_TICK_US, on_asks_tick, gateway);
 }
 
 void
-comet_gateway_forget_ask(void *ctx, struct comet_placement_item *item)
+comet_gateway_cancel_slot_request(void *ctx, struct comet_placement_item *item)
 {
-	comet_grants_forget(((struct comet_gateway *)ctx)->grants, item);
+	comet_grants_cancel(((struct comet_gateway *)ctx)->grants, item);
 }
 
 static void
@@ -95,7 +95,7 @@
 {
 	struct comet_gateway *gateway = ctx;
 
-	comet_view_link_send(gateway->link, address, data, length);
+	comet_datagram_socket_send(gateway->link, address, data, length);
 }
 
 /* A granted slot is not used: says so where the reason is an evacuation that its keeper did not
@@ -104,7 +104,7 @@
 note_returned(struct comet_gateway *gateway, const struct comet_placement_item *item, uint32_t key)
 {
 	const struct comet_instance *instance = comet_instances_find_key(gateway->instances, key);
-	const struct comet_relay *relay = item->owner;
+	const struct comet_proxy_request *relay = item->owner;
 
 	if (instance == NULL || !instance->evacuated)
 		return;
@@ -142,7 +142,8 @@
 {
 	struct comet_gateway *gateway = ctx;
 
-	comet_placement_expected(gateway->placement, item, expected_us, comet_timers_now_us());
+	comet_placement_set_expected_wait(
+		gateway->placement, item, expected_us, comet_timers_now_us());
 }
 
 static void
@@ -152,7 +153,7 @@
 	uint64_t now_us = comet_timers_now_us();
 
 	gateway->counts.waited++;
-	comet_placement_waited(gateway->placement, item, now_us);
+	comet_placement_wait_expired(gateway->placement, item, now_us);
 	comet_placement_run(gateway->placement, now_us);
 }
 
@@ -160,13 +161,13 @@
 on_unanswered(void *ctx, struct comet_placement_item *item, uint32_t keeper)
 {
 	struct comet_gateway *gateway = ctx;
-	const struct comet_relay *relay = item->owner;
-	char text[COMET_VIEW_ADDRESS_MAX];
+	const struct comet_proxy_request *relay = item->owner;
+	char text[COMET_IPV4_TEXT_BYTES];
 	uint64_t now_us = comet_timers_now_us();
 
 	gateway->counts.unanswered++;
 	comet_log(COMET_LOG_NOTICE, "event=keeper_mute request=%s vm=%s", relay->id,
-		comet_view_link_text(keeper, text));
+		comet_datagram_socket_format_address(keeper, text));
 	comet_placement_unanswered(gateway->placement, item, now_us);
 	comet_placement_run(gateway->placement, now_us);
 }
@@ -176,8 +177,8 @@
 count_grant(struct comet_gateway *gateway, uint32_t asker, const struct comet_instance *instance,
 	uint32_t prompt_tokens)
 {
-	comet_views_granted(
-		gateway->views, asker, instance->key, prompt_tokens, comet_timers_now_us());
+	comet_gossip_slot_granted(
+		gateway->gossip, asker, instance->key, prompt_tokens, comet_timers_now_us());
 }
 
 /* Milliseconds that a datagram tells, as a time; 0 stays 0. */
@@ -189,11 +190,11 @@
 
 /* Chooses an endpoint for another VM's request, now or when a slot comes free. */
 static uint32_t
-choose_for(void *ctx, const comet_SlotAsk *ask, struct comet_placement_wait *wait)
+choose_for(void *ctx, const comet_SlotAsk *ask, struct comet_placement_wait_estimate *wait)
 {
 	struct comet_gateway *gateway = ctx;
 	uint64_t now_us = comet_timers_now_us();
-	struct comet_placement_ask wanted = {
+	struct comet_slot_request wanted = {
 		.asker = ask->asker,
 		.number = ask->number,
 		.shard = ask->shard,
@@ -210,11 +211,11 @@
 		.route_rank = ask->route_rank,
 		.late = ask->late,
 		.end_us = time_of(ask->left_ms, now_us),
-		.aim_us = time_of(ask->aim_ms, now_us),
+		.soft_deadline_us = time_of(ask->aim_ms, now_us),
 		.wait_us = (uint64_t)ask->wait_ms * 1000,
 	};
 	const struct comet_instance *instance =
-		comet_placement_choose_for(gateway->placement, &wanted, now_us, wait);
+		comet_placement_choose_remote(gateway->placement, &wanted, now_us, wait);
 
 	gateway->counts.answered++;
 	if (instance == NULL)
@@ -224,8 +225,8 @@
 }
 
 void
-comet_gateway_grant(
-	void *ctx, const struct comet_placement_ask *ask, struct comet_instance *instance)
+comet_gateway_grant_slot(
+	void *ctx, const struct comet_slot_request *ask, struct comet_instance *instance)
 {
 	struct comet_gateway *gateway = ctx;
 
@@ -238,9 +239,9 @@
 static void
 learn_result(struct comet_instance *instance, enum comet_dispatch_result result, uint64_t now_us)
 {
-	if (comet_instance_told_result(instance, result, now_us))
+	if (comet_instance_remote_result(instance, result, now_us))
 		comet_log(COMET_LOG_INFO, "event=endpoint_%s endpoint=%s result=%s told=1",
-			instance->avoid_us != 0 ? "avoided" : "trusted", instance->id,
+			instance->ejected_until_us != 0 ? "avoided" : "trusted", instance->id,
 			comet_dispatch_result_name(result));
 }
 
@@ -253,7 +254,7 @@
 
 	uint64_t now_us = comet_timers_now_us();
 
-	comet_views_freed(gateway->views, freed->asker, freed->instance);
+	comet_gossip_slot_released(gateway->gossip, freed->asker, freed->instance);
 	if (instance != NULL)
 	{
 		comet_instance_learn(instance, !freed->plain, freed->taken_us, freed->events);
--- a/libcometspindle/adapters/gateway/gateway_metrics.c
+++ b/libcometspindle/adapters/gateway/gateway_metrics.c
@@ -78,8 +78,8 @@
 {
 	static const char *const names[COMET_DIRECTORY_CALLS] = {
 		[COMET_DIRECTORY_CALL_PAGE] = "page",
-		[COMET_DIRECTORY_CALL_NEWS] = "news",
-		[COMET_DIRECTORY_CALL_NO_NEWS] = "no_news",
+		[COMET_DIRECTORY_CALL_CHANGES] = "news",
+		[COMET_DIRECTORY_CALL_NO_CHANGES] = "no_news",
 		[COMET_DIRECTORY_CALL_FAILED] = "failed",
 	};
 
@@ -94,10 +94,11 @@
 static void
 put_crashes(GString *out, const struct comet_gateway *gateway)
 {
-	const struct comet_crashes_counts counts = comet_crashes_count(gateway->crashes);
+	const struct comet_crash_tracker_counts counts =
+		comet_crash_tracker_count(gateway->crash_tracker);
 
 	put(out, "crash_records", "gauge", counts.records);
-	put(out, "crash_suspects", "gauge", counts.suspects);
+	put(out, "crash_suspects", "gauge", counts.crash_suspects);
 	put(out, "requests_barred", "gauge", counts.barred);
 }
 
@@ -129,7 +130,7 @@
 repeats_left_of(const struct page *page, const char *service, uint32_t waiting)
 {
 	(void)waiting;
-	return comet_retry_budget_left(page->gateway->retries, service, page->now_us);
+	return comet_retry_budget_remaining(page->gateway->retries, service, page->now_us);
 }
 
 static const struct service_family service_families[] = {
@@ -162,7 +163,8 @@
 put_team(void *ctx, const struct comet_route_team *team)
 {
 	const struct page *page = ctx;
-	double left = comet_allowance_left(page->gateway->allowance, team->id, page->now_us);
+	double left =
+		comet_rate_limiter_remaining(page->gateway->rate_limiter, team->id, page->now_us);
 
 	if (team->rate_per_s > 0)
 		g_string_append_printf(
@@ -190,7 +192,7 @@
 static bool
 view_age_of(const struct comet_instance *instance, uint64_t now_us, double *value)
 {
-	uint64_t viewed_us = MAX(instance->others_us, instance->told_us);
+	uint64_t viewed_us = MAX(instance->gossip_us, instance->reported_us);
 
 	*value = (double)(now_us - viewed_us) / 1000000;
 	return viewed_us != 0;
@@ -216,7 +218,7 @@
 avoided_of(const struct comet_instance *instance, uint64_t now_us, double *value)
 {
 	(void)now_us;
-	*value = instance->avoid_us != 0 ? 1 : 0;
+	*value = instance->ejected_until_us != 0 ? 1 : 0;
 	return true;
 }
 
@@ -313,8 +315,9 @@
 		char labels[32];
 		g_snprintf(labels, sizeof labels, "kind=\"%s\"",
 			comet_route_kind_name((enum comet_route_kind)kind));
-		comet_latency_print(
-			(const struct comet_latency *)(times + member), out, name, labels);
+		comet_latency_histogram_print(
+			(const struct comet_latency_histogram *)(times + member), out, name,
+			labels);
 	}
 }
 
@@ -330,7 +333,7 @@
 }
 
 static void
-put_use(GString *out, const char *use, const struct comet_bytes *bytes)
+put_use(GString *out, const char *use, const struct comet_byte_counters *bytes)
 {
 	g_string_append_printf(out,
 		"comet_link_bytes_total{use=\"%s\",direction=\"in\"} %" G_GUINT64_FORMAT "\n"
@@ -348,12 +351,12 @@
 		[COMET_GATEWAY_USE_DIRECTORY] = "directory",
 		[COMET_GATEWAY_USE_PEERS] = "peers",
 	};
-	const struct comet_bytes *views = comet_view_link_bytes(gateway->link);
+	const struct comet_byte_counters *gossip = comet_datagram_socket_bytes(gateway->link);
 
 	put_type(out, "link_bytes_total", "counter");
 	for (size_t i = 0; i < COMET_GATEWAY_USES; i++)
 		put_use(out, names[i], &gateway->bytes[i]);
-	put_use(out, "datagrams", views);
+	put_use(out, "datagrams", gossip);
 }
 
 static void
@@ -362,7 +365,7 @@
 	const struct comet_gateway *gateway = page->gateway;
 	GString *out = page->out;
 
-	put(out, "directory_era", "gauge", (double)comet_directory_era(gateway->position));
+	put(out, "directory_era", "gauge", (double)comet_directory_epoch(gateway->position));
 	put(out, "directory_revision", "gauge",
 		(double)comet_directory_revision(gateway->position));
 	if (gateway->answered_us != 0)
@@ -373,13 +376,14 @@
 	put(out, "directory_transfers_abandoned_total", "counter",
 		(double)comet_upstream_counts(gateway->upstream)->abandoned);
 	put_type(out, "routes_lag_seconds", "histogram");
-	comet_latency_print(&gateway->routes_lag, out, "comet_routes_lag_seconds", "");
+	comet_latency_histogram_print(&gateway->routes_lag, out, "comet_routes_lag_seconds", "");
 	put(out, "routes_version", "gauge",
 		gateway->table != NULL ? (double)comet_route_table_version(gateway->table) : 0);
 }
 
 void
-comet_gateway_answer_metrics(struct comet_gateway *gateway, struct comet_front_request *request)
+comet_gateway_respond_metrics(
+	struct comet_gateway *gateway, struct comet_http_server_request *request)
 {
 	const struct comet_upstream_counts *up = comet_upstream_counts(gateway->upstream);
 	GString *out = g_string_new(NULL);
@@ -387,9 +391,9 @@
 	uint32_t heard = 0;
 	struct page page = {.gateway = gateway, .out = out, .now_us = comet_timers_now_us()};
 
-	comet_views_count(gateway->views, &known, &heard);
+	comet_gossip_count(gateway->gossip, &known, &heard);
 	put_outcomes(out, &gateway->counts);
-	comet_tally_print(gateway->ends, out, "comet_request_ends_total");
+	comet_counter_set_print(gateway->ends, out, "comet_request_ends_total");
 	put_times(out, gateway);
 	put(out, "requests_open", "gauge", gateway->calls);
 	put_services(&page);
@@ -411,7 +415,7 @@
 	put_directory(&page);
 	put_bytes(out, gateway);
 	put_endpoints(&page);
-	comet_front_answer(
+	comet_http_server_respond(
 		request, 200, "Content-Type: text/plain; version=0.0.4\r\n", out->str, out->len);
 	g_string_free(out, TRUE);
 }
--- a/libcometspindle/adapters/gateway/gateway_pages.c
+++ b/libcometspindle/adapters/gateway/gateway_pages.c
@@ -32,18 +32,18 @@
 }
 
 static void
-on_readiness(void *ctx, struct comet_front_request *request)
+on_readiness(void *ctx, struct comet_http_server_request *request)
 {
 	const char *why = comet_gateway_not_ready(ctx);
 
 	if (why == NULL)
-		comet_front_answer(request, 200, NULL, "ready\n", 6);
+		comet_http_server_respond(request, 200, NULL, "ready\n", 6);
 	else
-		comet_front_answer(request, 503, NULL, why, strlen(why));
+		comet_http_server_respond(request, 503, NULL, why, strlen(why));
 }
 
 static void
-on_gone(void *ctx, struct comet_front_request *request)
+on_gone(void *ctx, struct comet_http_server_request *request)
 {
 	(void)ctx;
 	(void)request;
@@ -66,7 +66,7 @@
 resync_for(struct comet_gateway *gateway, const char *target)
 {
 	const struct comet_directory_ops *ops = gateway->directory->ops;
-	uint32_t open = (uint32_t)comet_front_counts(gateway->control)->connections;
+	uint32_t open = (uint32_t)comet_http_server_counts(gateway->control)->connections;
 	GBytes *data = NULL;
 
 	if (open <= DELTAS_MAX && g_str_has_prefix(target, COMET_GATEWAY_ENDPOINTS_PATH))
@@ -87,7 +87,7 @@
 document_for(struct comet_gateway *gateway, const char *query)
 {
 	const struct comet_directory_ops *ops = gateway->directory->ops;
-	size_t unsent = comet_front_unsent(gateway->control);
+	size_t unsent = comet_http_server_unsent_bytes(gateway->control);
 	GBytes *document = ops->documents(gateway->directory, query);
 
 	if (document == NULL || unsent == 0 ||
@@ -98,24 +98,24 @@
 }
 
 static void
-answer_resync(struct comet_front_request *request, GBytes *bytes)
+answer_resync(struct comet_http_server_request *request, GBytes *bytes)
 {
 	gsize length = 0;
 
 	/* An idle connection would count as a transfer. */
-	comet_front_end_connection(request);
+	comet_http_server_close_after_response(request);
 	if (bytes == NULL)
 	{
-		comet_front_answer(request, 503, NULL, "", 0);
+		comet_http_server_respond(request, 503, NULL, "", 0);
 		return;
 	}
 	const char *data = g_bytes_get_data(bytes, &length);
-	comet_front_answer(request, 200, "Content-Type: application/json\r\n", data, length);
+	comet_http_server_respond(request, 200, "Content-Type: application/json\r\n", data, length);
 	g_bytes_unref(bytes);
 }
 
 static void
-on_control(void *ctx, struct comet_front_request *request)
+on_control(void *ctx, struct comet_http_server_request *request)
 {
 	const char *target = request->head->target;
 
@@ -127,13 +127,13 @@
 		 g_str_has_prefix(target, COMET_GATEWAY_ENDPOINTS_PATH))
 		answer_resync(request, resync_for(ctx, target));
 	else if (strcmp(target, METRICS_PATH) == 0)
-		comet_gateway_answer_metrics(ctx, request);
+		comet_gateway_respond_metrics(ctx, request);
 	else
-		comet_front_answer(request, 404, NULL, "", 0);
+		comet_http_server_respond(request, 404, NULL, "", 0);
 }
 
-const struct comet_front_events comet_gateway_readiness_events = {
+const struct comet_http_server_events comet_gateway_readiness_events = {
 	.request = on_readiness, .gone = on_gone};
 
-const struct comet_front_events comet_gateway_control_events = {
+const struct comet_http_server_events comet_gateway_control_events = {
 	.request = on_control, .gone = on_gone};
--- a/libcometspindle/adapters/gateway/gateway_private.h
+++ b/libcometspindle/adapters/gateway/gateway_private.h
@@ -6,21 +6,21 @@
 #define COMETSPINDLE_ADAPTERS_GATEWAY_PRIVATE_H
 
 #include <libcometspindle/adapters/endpoints/fetch.h>
-#include <libcometspindle/adapters/callers/front.h>
+#include <libcometspindle/adapters/callers/http_server.h>
 #include <libcometspindle/adapters/gateway/gateway.h>
-#include <libcometspindle/adapters/peers/view_link.h>
-#include <libcometspindle/draw.h>
-#include <libcometspindle/gateway/admission/charges.h>
+#include <libcometspindle/adapters/peers/datagram_socket.h>
+#include <libcometspindle/random.h>
+#include <libcometspindle/gateway/admission/quota_requests.h>
 #include <libcometspindle/gateway/directory.h>
-#include <libcometspindle/gateway/admission/crashes.h>
+#include <libcometspindle/gateway/admission/crash_tracker.h>
 #include <libcometspindle/gateway/endpoints/evacuations.h>
 #include <libcometspindle/gateway/placement/grants.h>
-#include <libcometspindle/gateway/endpoints/lives.h>
+#include <libcometspindle/gateway/endpoints/incarnations.h>
 #include <libcometspindle/gateway/placement/placement.h>
-#include <libcometspindle/gateway/fleet/readers.h>
-#include <libcometspindle/gateway/fleet/views.h>
-#include <libcometspindle/latency.h>
-#include <libcometspindle/tally.h>
+#include <libcometspindle/gateway/fleet/reader_election.h>
+#include <libcometspindle/gateway/fleet/gossip.h>
+#include <libcometspindle/latency_histogram.h>
+#include <libcometspindle/counter_set.h>
 
 /** Counts of how requests ended; monotonic. */
 struct comet_gateway_counts
@@ -66,9 +66,9 @@
 /** Times of answers, by kind of route. */
 struct comet_gateway_times
 {
-	struct comet_latency first;  /**< from the request's first byte to its answer's */
-	struct comet_latency whole;  /**< to the end of the answer */
-	struct comet_latency waited; /**< until it was sent to an endpoint */
+	struct comet_latency_histogram first;  /**< from the request's first byte to its answer's */
+	struct comet_latency_histogram whole;  /**< to the end of the answer */
+	struct comet_latency_histogram waited; /**< until it was sent to an endpoint */
 };
 
 #define COMET_ROUTE_KINDS (COMET_ROUTE_STREAM + 1)
@@ -77,50 +77,52 @@
 {
 	const struct comet_gateway_settings *settings;
 	const char *settings_path;
-	const struct comet_wire_names *names;
+	const struct comet_header_names *names;
 	struct tevent_context *ev;
 	struct comet_timers *timers;
 	struct comet_upstream *upstream;
-	struct comet_front *callers;
-	struct comet_front *readiness;
-	struct comet_front *control;
+	struct comet_http_server *callers;
+	struct comet_http_server *readiness;
+	struct comet_http_server *control;
 	struct comet_directory *directory;
 	struct comet_instances *instances;
-	struct comet_lives *lives;
+	struct comet_incarnations *lives;
 	struct comet_evacuations *evacuations;
 	struct comet_placement *placement;
-	struct comet_allowance *allowance;
+	struct comet_rate_limiter *rate_limiter;
 	struct comet_retry_budget *retries;
-	struct comet_crashes *crashes;
-	struct comet_views *views;
+	struct comet_crash_tracker *crash_tracker;
+	struct comet_gossip *gossip;
 	struct comet_grants *grants;
-	struct comet_timer *asks_timer; /**< looks at open asks; NULL: there is none */
-	struct comet_charges *charges;
-	struct comet_timer *charges_timer; /**< looks at open charges; NULL: there is none */
-	struct comet_readers *readers;
-	enum comet_directory_reading reading; /**< whether this VM reads the directory itself */
-	uint64_t reported_us;                 /**< when it last told news; 0: never */
-	struct comet_view_link *link;
+	struct comet_timer *grants_timer; /**< looks at open asks; NULL: there is none */
+	struct comet_quota_requests *charges;
+	struct comet_timer *quota_timer; /**< looks at open charges; NULL: there is none */
+	struct comet_reader_election *reader_election;
+	enum comet_directory_mode reading; /**< whether this VM reads the directory itself */
+	uint64_t reported_us;              /**< when it last told news; 0: never */
+	struct comet_datagram_socket *link;
 	struct comet_route_table *table; /**< NULL until one has been read */
 	struct comet_gateway_counts counts;
-	struct comet_bytes bytes[COMET_GATEWAY_USES];
-	struct comet_latency routes_lag; /**< from the news of a document until it is in force */
-	struct comet_tally *ends;        /**< of requests, by what became of them, kind and rank */
+	struct comet_byte_counters bytes[COMET_GATEWAY_USES];
+	struct comet_latency_histogram
+		routes_lag;             /**< from the news of a document until it is in force */
+	struct comet_counter_set *ends; /**< of requests, by what became of them, kind and rank */
 	struct comet_gateway_times times[COMET_ROUTE_KINDS];
-	uint32_t calls;   /**< requests that are open */
-	GQueue relays;    /**< of struct comet_relay: the same, as they are */
-	GList *looks;     /**< at endpoints that may have crashed (gateway_crashes.c) */
-	bool barred_anew; /**< a request was barred: some may wait here */
-	GQueue sendings;  /**< of struct comet_relay: those that are at an endpoint */
-	struct comet_draw draw;
+	uint32_t calls;         /**< requests that are open */
+	GQueue relays;          /**< of struct comet_proxy_request: the same, as they are */
+	GList *crash_checks;    /**< at endpoints that may have crashed (gateway_crashes.c) */
+	bool newly_quarantined; /**< a request was barred: some may wait here */
+	GQueue active_attempts; /**< of struct comet_proxy_request: those that are at an endpoint */
+	struct comet_random draw;
 	uint64_t began_us;
-	bool finding;          /**< it still finds out who else is there */
-	uint64_t found_us;     /**< when another VM was last heard of for the first time */
-	uint32_t heard_vms;    /**< most VMs heard at a time, with this one */
-	uint64_t stop_us;      /**< when the stop began; 0: none */
-	uint64_t turn_us;      /**< when the loop had last waited */
-	uint64_t suspended_us; /**< for how long the VM was suspended, as last looked */
-	uint64_t away_us;      /**< when the process was last found to have been away; 0: never */
+	bool discovering;           /**< it still finds out who else is there */
+	uint64_t discovered_us;     /**< when another VM was last heard of for the first time */
+	uint32_t peak_alive_vms;    /**< most VMs heard at a time, with this one */
+	uint64_t stop_us;           /**< when the stop began; 0: none */
+	uint64_t last_loop_us;      /**< when the loop had last waited */
+	uint64_t suspended_us;      /**< for how long the VM was suspended, as last looked */
+	uint64_t pause_detected_us; /**< when the process was last found to have been away; 0: never
+				     */
 	struct comet_fetch *resyncing;         /**< request of a snapshot or delta */
 	struct comet_fetch *fetching_document; /**< request of the routing document */
 	uint64_t answered_us;         /**< when the directory last answered a call; 0: never */
@@ -138,7 +140,7 @@
 };
 
 /** Handles a request of a caller (gateway_relay.c). */
-extern const struct comet_front_events comet_gateway_caller_events;
+extern const struct comet_http_server_events comet_gateway_caller_events;
 
 /** What the directory tells (gateway_directory.c). */
 extern const struct comet_directory_events comet_gateway_directory_events;
@@ -155,28 +157,28 @@
 extern const struct comet_placement_ops comet_gateway_placement_ops;
 
 /** Slots asked for at other VMs, for placement's operations (gateway_grants.c). */
-enum comet_placement_keeper
-comet_gateway_keeper(void *ctx, struct comet_shard *shard);
+enum comet_placement_owner
+comet_gateway_find_shard_owner(void *ctx, struct comet_shard *shard);
 
 void
-comet_gateway_ask(void *ctx, struct comet_placement_item *item, struct comet_shard *shard,
-	const struct comet_placement_ask *ask);
+comet_gateway_request_slot(void *ctx, struct comet_placement_item *item, struct comet_shard *shard,
+	const struct comet_slot_request *ask);
 
 void
-comet_gateway_forget_ask(void *ctx, struct comet_placement_item *item);
+comet_gateway_cancel_slot_request(void *ctx, struct comet_placement_item *item);
 
 void
-comet_gateway_grant(
-	void *ctx, const struct comet_placement_ask *ask, struct comet_instance *instance);
+comet_gateway_grant_slot(
+	void *ctx, const struct comet_slot_request *ask, struct comet_instance *instance);
 
 extern const struct comet_grants_ops comet_gateway_grants_ops;
 
 /** Charges of requests to teams, here and at other VMs (gateway_charges.c). */
-extern const struct comet_charges_ops comet_gateway_charges_ops;
+extern const struct comet_quota_requests_ops comet_gateway_quota_ops;
 
 /** Answers on the readiness and control addresses (gateway_pages.c). */
-extern const struct comet_front_events comet_gateway_readiness_events;
-extern const struct comet_front_events comet_gateway_control_events;
+extern const struct comet_http_server_events comet_gateway_readiness_events;
+extern const struct comet_http_server_events comet_gateway_control_events;
 
 /** Path of a snapshot of the directory on a VM's control address. */
 #define COMET_GATEWAY_SNAPSHOT_PATH "/v1/directory"
@@ -200,7 +202,7 @@
 
 /** Decides whether this VM reads the directory, and reports to followers (gateway_readers.c). */
 void
-comet_gateway_tick_readers(struct comet_gateway *gateway, uint64_t now_us);
+comet_gateway_tick_reader_election(struct comet_gateway *gateway, uint64_t now_us);
 
 /** Reports this VM's position to its followers. */
 void
@@ -208,7 +210,7 @@
 
 /** Takes the report of a reader. */
 void
-comet_gateway_take_report(struct comet_gateway *gateway, const comet_News *news, uint64_t now_us);
+comet_gateway_handle_report(struct comet_gateway *gateway, const comet_News *news, uint64_t now_us);
 
 /** Restarts the watch, or resyncs from a peer, after peers have been ahead for a while
  * (gateway_resync.c). */
@@ -221,6 +223,7 @@
 
 /** Answers with all metrics (gateway_metrics.c). */
 void
-comet_gateway_answer_metrics(struct comet_gateway *gateway, struct comet_front_request *request);
+comet_gateway_respond_metrics(
+	struct comet_gateway *gateway, struct comet_http_server_request *request);
 
 #endif
--- a/libcometspindle/adapters/gateway/gateway_charges.c
+++ b/libcometspindle/adapters/gateway/gateway_quota.c
@@ -1,8 +1,8 @@
 /*
- * gateway_charges.c
+ * gateway_quota.c
  * one request at a gateway: its charge to its team, and charges of other VMs' requests
  */
-#include <libcometspindle/adapters/gateway/gateway_relay.h>
+#include <libcometspindle/adapters/gateway/proxy_request.h>
 
 #include <libcometspindle/log.h>
 
@@ -24,16 +24,16 @@
 {
 	struct comet_gateway *gateway = ctx;
 
-	gateway->charges_timer = NULL;
-	if (comet_charges_tick(gateway->charges, comet_timers_now_us()))
-		gateway->charges_timer = comet_timers_add(
+	gateway->quota_timer = NULL;
+	if (comet_quota_requests_tick(gateway->charges, comet_timers_now_us()))
+		gateway->quota_timer = comet_timers_add(
 			gateway->timers, gateway, CHARGES_TICK_US, on_charges_tick, gateway);
 }
 
 /* Is a VM not to be asked just now? */
 struct mute_query
 {
-	const struct comet_charges *charges;
+	const struct comet_quota_requests *charges;
 	uint64_t now_us;
 };
 
@@ -42,7 +42,7 @@
 {
 	const struct mute_query *query = ctx;
 
-	return comet_charges_is_mute(query->charges, vm, query->now_us);
+	return comet_quota_requests_is_unresponsive(query->charges, vm, query->now_us);
 }
 
 /* The VM that keeps a team's account, this one or another; 0: nobody that answers. */
@@ -53,48 +53,51 @@
 
 	if (!gateway->settings->ask_keepers)
 		return 0;
-	if (gateway->finding)
-		return comet_views_seed_keeper(gateway->views, team_id, is_mute, &query);
-	return comet_views_keeper_but(gateway->views, team_id, 0, is_mute, &query, now_us);
+	if (gateway->discovering)
+		return comet_gossip_find_seed_owner(gateway->gossip, team_id, is_mute, &query);
+	return comet_gossip_find_responsive_owner(
+		gateway->gossip, team_id, 0, is_mute, &query, now_us);
 }
 
 static void
-refuse_over_limit(struct comet_relay *relay, uint32_t keeper, uint32_t wait_ms)
+refuse_over_limit(struct comet_proxy_request *relay, uint32_t keeper, uint32_t wait_ms)
 {
 	struct comet_gateway *gateway = relay->gateway;
-	char text[COMET_VIEW_ADDRESS_MAX];
+	char text[COMET_IPV4_TEXT_BYTES];
 
 	gateway->counts.refused_team++;
 	comet_log(COMET_LOG_INFO,
 		"event=over_limit request=%s team=%s charge=%" G_GUINT64_FORMAT
 		" left=%.0f keeper=%s",
 		relay->id, relay->team->name, relay->charge,
-		comet_allowance_left(gateway->allowance, relay->team->id, comet_timers_now_us()),
-		keeper != 0 ? comet_view_link_text(keeper, text) : "-");
-	comet_relay_answer(relay, 429, "team_limit", wait_ms);
+		comet_rate_limiter_remaining(
+			gateway->rate_limiter, relay->team->id, comet_timers_now_us()),
+		keeper != 0 ? comet_datagram_socket_format_address(keeper, text) : "-");
+	comet_proxy_request_respond_error(relay, 429, "team_limit", wait_ms);
 }
 
 static void
-charge(struct comet_relay *relay);
+charge(struct comet_proxy_request *relay);
 
 static void
 on_decide_again(void *ctx)
 {
-	struct comet_relay *relay = ctx;
+	struct comet_proxy_request *relay = ctx;
 
 	relay->undecided = NULL;
-	relay->keepers_asked = 0;
+	relay->owners_tried = 0;
 	charge(relay);
 }
 
 /* Decides by what this VM itself knows: as keeper of the account, or by views. */
 static void
-decide_here(struct comet_relay *relay, enum comet_allowance_sight sight, uint64_t now_us)
+decide_here(
+	struct comet_proxy_request *relay, enum comet_rate_limiter_source sight, uint64_t now_us)
 {
 	struct comet_gateway *gateway = relay->gateway;
-	bool wait = gateway->finding && sight == COMET_ALLOWANCE_BY_VIEWS &&
+	bool wait = gateway->discovering && sight == COMET_RATE_LIMITER_GOSSIP &&
 		    now_us < relay->arrived_us + UNDECIDED_US;
-	uint32_t wait_ms = comet_allowance_spend(gateway->allowance, relay->team->id,
+	uint32_t wait_ms = comet_rate_limiter_spend(gateway->rate_limiter, relay->team->id,
 		relay->route->priority, relay->charge, sight, now_us);
 
 	if (wait_ms == 0)
@@ -110,7 +113,7 @@
 }
 
 static void
-charge(struct comet_relay *relay)
+charge(struct comet_proxy_request *relay)
 {
 	struct comet_gateway *gateway = relay->gateway;
 	uint64_t now_us = comet_timers_now_us();
@@ -121,28 +124,28 @@
 		return;
 	}
 	uint32_t keeper = keeper_of(gateway, relay->team->id, now_us);
-	if (keeper == 0 || relay->keepers_asked >= KEEPERS_ASKED_MAX)
+	if (keeper == 0 || relay->owners_tried >= KEEPERS_ASKED_MAX)
 	{
-		decide_here(relay, COMET_ALLOWANCE_BY_VIEWS, now_us);
+		decide_here(relay, COMET_RATE_LIMITER_GOSSIP, now_us);
 		return;
 	}
-	if (keeper == comet_view_link_address(gateway->link))
+	if (keeper == comet_datagram_socket_address(gateway->link))
 	{
-		decide_here(relay, COMET_ALLOWANCE_KEPT, now_us);
+		decide_here(relay, COMET_RATE_LIMITER_OWNER, now_us);
 		return;
 	}
-	const struct comet_charge wanted = comet_relay_charge_of(relay);
-	relay->keepers_asked++;
+	const struct comet_quota_request wanted = comet_proxy_request_charge_amount(relay);
+	relay->owners_tried++;
 	gateway->counts.charges_asked++;
-	comet_charges_ask(gateway->charges, relay, keeper, &wanted, now_us);
-	if (gateway->charges_timer == NULL)
-		gateway->charges_timer = comet_timers_add(
+	comet_quota_requests_send(gateway->charges, relay, keeper, &wanted, now_us);
+	if (gateway->quota_timer == NULL)
+		gateway->quota_timer = comet_timers_add(
 			gateway->timers, gateway, CHARGES_TICK_US, on_charges_tick, gateway);
 }
 
 void
-comet_relay_charge(
-	struct comet_relay *relay, void (*admitted)(struct comet_relay *relay, uint64_t now_us))
+comet_proxy_request_charge(struct comet_proxy_request *relay,
+	void (*admitted)(struct comet_proxy_request *relay, uint64_t now_us))
 {
 	relay->admitted = admitted;
 	charge(relay);
@@ -153,14 +156,14 @@
 {
 	struct comet_gateway *gateway = ctx;
 
-	comet_view_link_send(gateway->link, address, data, length);
+	comet_datagram_socket_send(gateway->link, address, data, length);
 }
 
 static void
 on_decided(void *ctx, void *owner, uint32_t keeper, uint32_t wait_ms)
 {
 	struct comet_gateway *gateway = ctx;
-	struct comet_relay *relay = owner;
+	struct comet_proxy_request *relay = owner;
 	uint64_t now_us = comet_timers_now_us();
 
 	if (wait_ms != 0)
@@ -168,9 +171,9 @@
 		refuse_over_limit(relay, keeper, wait_ms);
 		return;
 	}
-	comet_allowance_charged(gateway->allowance, relay->team->id, relay->charge, now_us);
+	comet_rate_limiter_charged(gateway->rate_limiter, relay->team->id, relay->charge, now_us);
 	relay->charged = true;
-	relay->charged_by = keeper;
+	relay->quota_owner_vm = keeper;
 	relay->admitted(relay, now_us);
 }
 
@@ -178,35 +181,35 @@
 on_undecided(void *ctx, void *owner, uint32_t keeper)
 {
 	struct comet_gateway *gateway = ctx;
-	struct comet_relay *relay = owner;
-	char text[COMET_VIEW_ADDRESS_MAX];
+	struct comet_proxy_request *relay = owner;
+	char text[COMET_IPV4_TEXT_BYTES];
 
 	gateway->counts.charges_undecided++;
 	comet_log(COMET_LOG_INFO, "event=charge_undecided request=%s team=%s vm=%s", relay->id,
-		relay->team->name, comet_view_link_text(keeper, text));
+		relay->team->name, comet_datagram_socket_format_address(keeper, text));
 	charge(relay);
 }
 
 static bool
-on_charge(void *ctx, uint32_t asker, const struct comet_charge *charge, uint32_t *wait_ms)
+on_charge(void *ctx, uint32_t asker, const struct comet_quota_request *charge, uint32_t *wait_ms)
 {
 	struct comet_gateway *gateway = ctx;
 
 	gateway->counts.charges_answered++;
-	return comet_allowance_charge_for(gateway->allowance, asker, charge->team, charge->rank,
-		charge->amount, comet_timers_now_us(), wait_ms);
+	return comet_rate_limiter_charge_remote(gateway->rate_limiter, asker, charge->team,
+		charge->rank, charge->amount, comet_timers_now_us(), wait_ms);
 }
 
 static void
-on_returned(void *ctx, uint32_t asker, const struct comet_charge *charge)
+on_returned(void *ctx, uint32_t asker, const struct comet_quota_request *charge)
 {
 	struct comet_gateway *gateway = ctx;
 
-	comet_allowance_returned_by(
-		gateway->allowance, asker, charge->team, charge->amount, comet_timers_now_us());
+	comet_rate_limiter_refund_remote(
+		gateway->rate_limiter, asker, charge->team, charge->amount, comet_timers_now_us());
 }
 
-const struct comet_charges_ops comet_gateway_charges_ops = {
+const struct comet_quota_requests_ops comet_gateway_quota_ops = {
 	.send = send_datagram,
 	.decided = on_decided,
 	.undecided = on_undecided,
--- a/libcometspindle/adapters/gateway/gateway_resync.c
+++ b/libcometspindle/adapters/gateway/gateway_resync.c
@@ -32,7 +32,7 @@
 
 /* Applies a peer's answer. @return false if there is none, or it is malformed. */
 static bool
-take_answer(struct comet_gateway *gateway, const struct comet_fetch_answer *answer)
+take_answer(struct comet_gateway *gateway, const struct comet_fetch_response *answer)
 {
 	GError *error = NULL;
 
@@ -51,18 +51,18 @@
 }
 
 static void
-on_copy(void *ctx, const struct comet_fetch_answer *answer)
+on_copy(void *ctx, const struct comet_fetch_response *answer)
 {
 	struct comet_gateway *gateway = ctx;
 
 	gateway->resyncing = NULL; /* frees itself after this */
 	if (!take_answer(gateway, answer))
-		comet_readers_failed(gateway->readers, comet_timers_now_us());
+		comet_reader_election_failed(gateway->reader_election, comet_timers_now_us());
 	comet_gateway_fetch_document(gateway, comet_timers_now_us());
 }
 
 static void
-on_document(void *ctx, const struct comet_fetch_answer *answer)
+on_document(void *ctx, const struct comet_fetch_response *answer)
 {
 	struct comet_gateway *gateway = ctx;
 	const struct comet_directory_ops *ops = gateway->directory->ops;
@@ -77,9 +77,9 @@
 static struct comet_fetch *
 ask(struct comet_gateway *gateway, uint32_t vm, const char *target, comet_fetch_handler handler)
 {
-	char ip[COMET_VIEW_ADDRESS_MAX];
+	char ip[COMET_IPV4_TEXT_BYTES];
 	const char *port = strrchr(gateway->settings->control, ':'); /* the same on all VMs */
-	char *address = g_strconcat(comet_view_link_text(vm, ip), port, NULL);
+	char *address = g_strconcat(comet_datagram_socket_format_address(vm, ip), port, NULL);
 	struct comet_fetch_request request = {
 		.address = address,
 		.target = target,
@@ -96,12 +96,13 @@
 static void
 request_snapshot(struct comet_gateway *gateway, uint32_t vm)
 {
-	char ip[COMET_VIEW_ADDRESS_MAX];
+	char ip[COMET_IPV4_TEXT_BYTES];
 
 	comet_log(COMET_LOG_NOTICE,
 		"event=snapshot_requested vm=%s era=%" G_GUINT64_FORMAT
 		" revision=%" G_GUINT64_FORMAT,
-		comet_view_link_text(vm, ip), comet_directory_era(gateway->position),
+		comet_datagram_socket_format_address(vm, ip),
+		comet_directory_epoch(gateway->position),
 		comet_directory_revision(gateway->position));
 	gateway->resyncing = ask(gateway, vm, COMET_GATEWAY_SNAPSHOT_PATH, on_copy);
 }
@@ -144,7 +145,7 @@
 		(gateway->document_failed_us != 0 &&
 			now_us - gateway->document_failed_us < READER_RETRY_US))
 		return;
-	uint32_t vm = comet_readers_pick(gateway->readers, position, now_us);
+	uint32_t vm = comet_reader_election_pick(gateway->reader_election, position, now_us);
 	if (vm != 0)
 		request_document(gateway, vm);
 	else if (now_us - gateway->document_missing_us >= READER_RETRY_US)
@@ -156,7 +157,7 @@
 static bool
 restarted_watch(struct comet_gateway *gateway, uint64_t now_us)
 {
-	uint64_t newest = comet_views_newest(gateway->views);
+	uint64_t newest = comet_gossip_newest_revision(gateway->gossip);
 
 	if (newest <= gateway->restarted_for || now_us - gateway->stale_us < STALE_GRACE_US ||
 		!gateway->directory->ops->restart_stale_watch(gateway->directory, STALE_GRACE_US))
@@ -168,8 +169,8 @@
 void
 comet_gateway_resync(struct comet_gateway *gateway, uint64_t now_us)
 {
-	uint32_t vm = comet_views_newer(
-		gateway->views, gateway->position, comet_draw_u32(&gateway->draw));
+	uint32_t vm = comet_gossip_pick_newer_peer(
+		gateway->gossip, gateway->position, comet_random_u32(&gateway->draw));
 	uint64_t patience_us = gateway->directory_lost ? STALE_GRACE_US : STALE_GRACE_ANSWERED_US;
 
 	if (vm == 0)
@@ -195,7 +196,7 @@
 		return;
 	gateway->stale_us = now_us;
 	/* Endpoints are up to date: only the document is missing. */
-	if (comet_views_newest(gateway->views) <= gateway->endpoints_position)
+	if (comet_gossip_newest_revision(gateway->gossip) <= gateway->endpoints_position)
 		request_document(gateway, vm);
 	else
 		request_snapshot(gateway, vm);
--- a/libcometspindle/adapters/gateway/gateway_send.c
+++ b/libcometspindle/adapters/gateway/gateway_send.c
@@ -2,7 +2,7 @@
  * gateway_send.c
  * one request at a gateway: its sendings to endpoints
  */
-#include <libcometspindle/adapters/gateway/gateway_relay.h>
+#include <libcometspindle/adapters/gateway/proxy_request.h>
 
 #include <libcometspindle/adapters/gateway/forward_head.h>
 #include <libcometspindle/log.h>
@@ -16,17 +16,18 @@
 
 /* May this request be sent once more, after it may have run? */
 bool
-comet_relay_may_repeat(struct comet_relay *relay)
+comet_proxy_request_may_retry(struct comet_proxy_request *relay)
 {
 	struct comet_gateway *gateway = relay->gateway;
 	uint64_t now_us = comet_timers_now_us();
 
-	if (relay->may_have_run && !comet_route_repeatable(relay->route))
+	if (relay->may_have_run && !comet_route_is_retryable(relay->route))
 		return false;
 	/* Endpoints that fall silent are known to have crashed seconds later, in which a request
 	 * would go on to others. */
-	if (comet_relay_is_barred(relay) ||
-		comet_crashes_doubts(gateway->crashes, &relay->fingerprint, now_us))
+	if (comet_proxy_request_is_quarantined(relay) ||
+		comet_crash_tracker_is_undecided(
+			gateway->crash_tracker, &relay->fingerprint, now_us))
 		return false;
 	if (relay->attempts >= MAX(relay->route->max_attempts, 1) || now_us >= relay->end_us)
 		return false;
@@ -37,7 +38,7 @@
 
 /* Places the request again. */
 void
-comet_relay_place_again(struct comet_relay *relay, const char *reason)
+comet_proxy_request_retry(struct comet_proxy_request *relay, const char *reason)
 {
 	struct comet_gateway *gateway = relay->gateway;
 	uint64_t now_us = comet_timers_now_us();
@@ -46,25 +47,27 @@
 	comet_log(COMET_LOG_INFO,
 		"event=repeated request=%s reason=%s attempts=%u events=%u "
 		"unfinished_bytes=%" G_GUINT64_FORMAT,
-		relay->id, reason, relay->attempts, comet_relay_events(relay),
+		relay->id, reason, relay->attempts, comet_proxy_request_events(relay),
 		relay->unfinished_bytes);
-	if (!comet_placement_has_other(gateway->placement, &relay->item))
+	if (!comet_placement_has_untried(gateway->placement, &relay->item))
 	{
 		relay->item.n_tried = 0; /* the only one there is may take it again */
-		relay->anywhere = true;
+		relay->allow_tried = true;
 	}
-	relay->item.latest_us = MAX(relay->item.latest_us, now_us + (relay->end_us - now_us) / 2);
+	relay->item.dispatch_deadline_us =
+		MAX(relay->item.dispatch_deadline_us, now_us + (relay->end_us - now_us) / 2);
 	if (relay->started) /* what counts now is the pause that its reader sees */
-		relay->item.aim_us = now_us + (uint64_t)relay->route->gap_ms * 1000;
+		relay->item.soft_deadline_us = now_us + (uint64_t)relay->route->gap_ms * 1000;
 	comet_placement_submit(gateway->placement, &relay->item, now_us);
 }
 
 /* Writes the request as the endpoint is to get it. */
 static GString *
-write_request(struct comet_relay *relay, const struct comet_instance *instance, uint64_t now_us)
+write_request(
+	struct comet_proxy_request *relay, const struct comet_instance *instance, uint64_t now_us)
 {
 	const GByteArray *body = relay->request->body;
-	struct comet_forward forward = {
+	struct comet_forward_params forward = {
 		.left_ms = MAX((relay->end_us - now_us) / 1000, 1),
 		.instance = instance->id,
 		.team = relay->team != NULL ? relay->team->name : NULL,
@@ -81,20 +84,21 @@
 /* Can another run follow this one? What a caller has begun to read is followed only by the rest of
  * a stream whose events have ids: anything else would join two runs. */
 static bool
-can_be_followed(const struct comet_relay *relay)
+can_be_followed(const struct comet_proxy_request *relay)
 {
 	if (!relay->started)
 		return true;
-	return comet_relay_is_stream(relay) && comet_event_stream_last_id(relay->events) != NULL;
+	return comet_proxy_request_is_stream(relay) &&
+	       comet_event_stream_last_id(relay->events) != NULL;
 }
 
 /* When the endpoint was last heard, as far as its silence goes. While its caller is slow it is not
  * read; and what lies unread came while this process was stopped, after which sound endpoints
  * counted as silent. */
 static uint64_t
-last_word_us(const struct comet_relay *relay, uint64_t now_us)
+last_word_us(const struct comet_proxy_request *relay, uint64_t now_us)
 {
-	if (relay->paused || comet_exchange_has_news(relay->exchange))
+	if (relay->paused || comet_exchange_has_pending_events(relay->exchange))
 		return now_us;
 	return MAX(relay->sent_us, relay->last_us);
 }
@@ -103,7 +107,7 @@
 static void
 on_silence(void *ctx)
 {
-	struct comet_relay *relay = ctx;
+	struct comet_proxy_request *relay = ctx;
 	uint64_t now_us = comet_timers_now_us();
 	uint64_t last_us = last_word_us(relay, now_us);
 
@@ -114,29 +118,31 @@
 			relay->silent_after_us - (now_us - last_us), on_silence, relay);
 		return;
 	}
-	struct comet_instance *instance = comet_relay_instance(relay);
-	bool doubted = instance != NULL && comet_instance_doubt(instance, last_us, now_us);
+	struct comet_instance *instance = comet_proxy_request_instance(relay);
+	bool doubted =
+		instance != NULL && comet_instance_eject_if_silent(instance, last_us, now_us);
 	comet_log(COMET_LOG_NOTICE,
 		"event=silent request=%s endpoint=%s silent_ms=%" G_GUINT64_FORMAT
 		" doubted=%d events=%u body_bytes=%" G_GUINT64_FORMAT,
-		relay->id, relay->instance, comet_relay_since_ms(last_us, now_us), doubted,
-		comet_relay_events(relay), relay->body_bytes);
-	if (!comet_route_repeatable(relay->route) || !can_be_followed(relay) ||
-		!comet_relay_may_repeat(relay))
+		relay->id, relay->instance, comet_proxy_request_elapsed_ms(last_us, now_us),
+		doubted, comet_proxy_request_events(relay), relay->body_bytes);
+	if (!comet_route_is_retryable(relay->route) || !can_be_followed(relay) ||
+		!comet_proxy_request_may_retry(relay))
 		return; /* all that is left is to wait */
 	relay->may_have_run = true;
-	comet_relay_end_sending(relay, COMET_DISPATCH_SILENT);
+	comet_proxy_request_end_attempt(relay, COMET_DISPATCH_SILENT);
 	relay->resuming = relay->started;
-	comet_relay_place_again(relay, "silent");
+	comet_proxy_request_retry(relay, "silent");
 }
 
 static void
-watch_silence(struct comet_relay *relay, const struct comet_instance *instance, uint64_t now_us)
+watch_silence(
+	struct comet_proxy_request *relay, const struct comet_instance *instance, uint64_t now_us)
 {
 	uint64_t first_us = 0;
-	uint64_t whole_us = 0;
+	uint64_t total_us = 0;
 
-	comet_instance_expect(instance, &relay->item.job, now_us, &first_us, &whole_us);
+	comet_instance_estimate(instance, &relay->item.job, now_us, &first_us, &total_us);
 	relay->silent_after_us = MAX(SILENT_FACTOR * first_us, SILENT_MIN_US);
 	relay->silence = comet_timers_add(
 		relay->gateway->timers, relay, relay->silent_after_us, on_silence, relay);
@@ -146,55 +152,57 @@
  * seconds, else one that may not be repeated is held until its caller's time is over. One that the
  * new process took before this VM knew of it goes on, since its connection stands. */
 void
-comet_relay_probe_earlier_life(struct comet_gateway *gateway, const char *id, uint64_t born_ms)
+comet_proxy_request_probe_previous_incarnation(
+	struct comet_gateway *gateway, const char *id, uint64_t process_start_ms)
 {
-	for (GList *at = gateway->sendings.head; at != NULL; at = at->next)
+	for (GList *at = gateway->active_attempts.head; at != NULL; at = at->next)
 	{
-		const struct comet_relay *relay = at->data;
-		if (relay->born_ms == born_ms || strcmp(relay->instance, id) != 0)
+		const struct comet_proxy_request *relay = at->data;
+		if (relay->process_start_ms == process_start_ms || strcmp(relay->instance, id) != 0)
 			continue;
 		comet_log(COMET_LOG_INFO,
 			"event=probed request=%s endpoint=%s born=%" G_GUINT64_FORMAT, relay->id,
-			id, relay->born_ms);
+			id, relay->process_start_ms);
 		comet_exchange_probe(relay->exchange);
 	}
 }
 
 /* A sending failed in a way that may have run the request. */
 void
-comet_relay_sending_broke(struct comet_relay *relay, enum comet_dispatch_result result)
+comet_proxy_request_attempt_failed(
+	struct comet_proxy_request *relay, enum comet_dispatch_result result)
 {
 	relay->may_have_run = true;
 	comet_log(COMET_LOG_NOTICE,
 		"event=sending_failed request=%s endpoint=%s result=%s status=%u events=%u "
 		"body_bytes=%" G_GUINT64_FORMAT,
 		relay->id, relay->instance, comet_dispatch_result_name(result),
-		relay->head != NULL ? relay->head->status : 0, comet_relay_events(relay),
+		relay->head != NULL ? relay->head->status : 0, comet_proxy_request_events(relay),
 		relay->body_bytes);
-	comet_relay_end_sending(relay, result);
+	comet_proxy_request_end_attempt(relay, result);
 	if (!can_be_followed(relay))
 	{
-		comet_relay_cut(relay, "endpoint_broke");
+		comet_proxy_request_abort(relay, "endpoint_broke");
 		return;
 	}
-	if (!comet_relay_may_repeat(relay))
+	if (!comet_proxy_request_may_retry(relay))
 	{
-		comet_relay_give_up(relay, 502, "endpoint_broke");
+		comet_proxy_request_fail(relay, 502, "endpoint_broke");
 		return;
 	}
 	relay->resuming = relay->started;
-	comet_relay_place_again(relay, "endpoint_broke");
+	comet_proxy_request_retry(relay, "endpoint_broke");
 }
 
 /* The endpoint said that it has not run it. */
 void
-comet_relay_sending_refused(struct comet_relay *relay)
+comet_proxy_request_attempt_refused(struct comet_proxy_request *relay)
 {
 	bool wrong = relay->head->status == 421;
 	const char *told = comet_http_head_get(relay->head, "Retry-After");
 	uint32_t retry_after_ms = 0;
 
-	if (told != NULL && !comet_wire_parse_seconds(told, &retry_after_ms))
+	if (told != NULL && !comet_header_parse_seconds(told, &retry_after_ms))
 		comet_log(COMET_LOG_NOTICE,
 			"event=header_ignored request=%s endpoint=%s header=Retry-After", relay->id,
 			relay->instance);
@@ -202,13 +210,14 @@
 		"event=endpoint_refused request=%s endpoint=%s status=%u "
 		"body_bytes=%" G_GUINT64_FORMAT,
 		relay->id, relay->instance, relay->head->status, relay->body_bytes);
-	comet_relay_end_sending(relay, wrong ? COMET_DISPATCH_WRONG : COMET_DISPATCH_REFUSED);
-	if (comet_relay_may_repeat(relay))
-		comet_relay_place_again(relay, wrong ? "wrong_instance" : "endpoint_full");
+	comet_proxy_request_end_attempt(
+		relay, wrong ? COMET_DISPATCH_WRONG_INSTANCE : COMET_DISPATCH_REFUSED);
+	if (comet_proxy_request_may_retry(relay))
+		comet_proxy_request_retry(relay, wrong ? "wrong_instance" : "endpoint_full");
 	else if (relay->started)
-		comet_relay_cut(relay, "endpoint_full");
+		comet_proxy_request_abort(relay, "endpoint_full");
 	else
-		comet_relay_refuse(relay, "endpoint_full", MAX(retry_after_ms, 200));
+		comet_proxy_request_refuse(relay, "endpoint_full", MAX(retry_after_ms, 200));
 }
 
 /* Placement has chosen: sends the request. */
@@ -216,12 +225,13 @@
 on_dispatch(void *ctx, struct comet_placement_item *item, struct comet_instance *instance)
 {
 	struct comet_gateway *gateway = ctx;
-	struct comet_relay *relay = item->owner;
-	const struct comet_placement_reason *reason = comet_placement_reason(gateway->placement);
+	struct comet_proxy_request *relay = item->owner;
+	const struct comet_placement_decision *reason =
+		comet_placement_decision(gateway->placement);
 	uint64_t now_us = comet_timers_now_us();
 	GString *bytes = write_request(relay, instance, now_us);
-	char keeper[COMET_VIEW_ADDRESS_MAX];
-	struct comet_exchange_request sending = {
+	char keeper[COMET_IPV4_TEXT_BYTES];
+	struct comet_exchange_request attempt = {
 		.instance = instance->id,
 		.address = instance->address,
 		.bytes = bytes->str,
@@ -229,7 +239,7 @@
 		.id_header = gateway->names->request_id,
 		.id = relay->id,
 		.head_only = strcmp(relay->request->head->method, "HEAD") == 0,
-		.new_connection = relay->anywhere,
+		.new_connection = relay->allow_tried,
 		.counted = &gateway->bytes[COMET_GATEWAY_USE_ENDPOINTS],
 	};
 
@@ -240,10 +250,11 @@
 		relay->id, instance->id, reason->load, reason->slots, reason->candidates,
 		reason->with_room, reason->waited_us / 1000, reason->first_us / 1000,
 		reason->view_age_us / 1000, instance->pace, relay->attempts + 1,
-		comet_relay_events(relay),
-		item->keeper != 0 ? comet_view_link_text(item->keeper, keeper) : "-");
+		comet_proxy_request_events(relay),
+		item->keeper != 0 ? comet_datagram_socket_format_address(item->keeper, keeper)
+				  : "-");
 	if (relay->attempts == 0)
-		comet_latency_add(
+		comet_latency_histogram_add(
 			&gateway->times[relay->route->kind].waited, now_us - relay->arrived_us);
 	if (relay->attempts == 0)
 		comet_retry_budget_first(gateway->retries, relay->service, now_us);
@@ -257,15 +268,15 @@
 	relay->first_us = 0;
 	relay->last_us = 0;
 	relay->body_bytes = 0;
-	relay->first_count = comet_relay_events(relay);
+	relay->first_count = comet_proxy_request_events(relay);
 	relay->instance = talloc_strdup(relay, instance->id);
-	relay->born_ms = instance->born_ms;
-	relay->life = instance->key;
-	g_queue_push_tail(&gateway->sendings, relay);
-	relay->sending = g_queue_peek_tail_link(&gateway->sendings);
+	relay->process_start_ms = instance->process_start_ms;
+	relay->incarnation_key = instance->key;
+	g_queue_push_tail(&gateway->active_attempts, relay);
+	relay->attempt = g_queue_peek_tail_link(&gateway->active_attempts);
 	comet_instance_started(instance, &item->job);
 	relay->exchange = comet_upstream_send(
-		gateway->upstream, relay, &sending, &comet_relay_answer_events, relay);
+		gateway->upstream, relay, &attempt, &comet_proxy_request_response_events, relay);
 	watch_silence(relay, instance, now_us);
 	g_string_free(bytes, TRUE);
 }
@@ -274,20 +285,21 @@
 on_refuse(void *ctx, struct comet_placement_item *item, uint32_t retry_after_ms)
 {
 	const struct comet_gateway *gateway = ctx;
-	struct comet_relay *relay = item->owner;
+	struct comet_proxy_request *relay = item->owner;
 	bool evacuated = comet_placement_is_evacuated(gateway->placement, item);
 
 	if (relay->started)
-		comet_relay_cut(relay, "no_endpoint");
+		comet_proxy_request_abort(relay, "no_endpoint");
 	else
-		comet_relay_refuse(relay, evacuated ? "evacuated" : "no_room", retry_after_ms);
+		comet_proxy_request_refuse(
+			relay, evacuated ? "evacuated" : "no_room", retry_after_ms);
 }
 
 const struct comet_placement_ops comet_gateway_placement_ops = {
 	.dispatch = on_dispatch,
 	.refuse = on_refuse,
-	.keeper = comet_gateway_keeper,
-	.ask = comet_gateway_ask,
-	.forget = comet_gateway_forget_ask,
-	.grant = comet_gateway_grant,
+	.keeper = comet_gateway_find_shard_owner,
+	.ask = comet_gateway_request_slot,
+	.forget = comet_gateway_cancel_slot_request,
+	.grant = comet_gateway_grant_slot,
 };
--- a/libcometspindle/adapters/gateway/gateway_relay.c
+++ b/libcometspindle/adapters/gateway/proxy_request.c
@@ -1,5 +1,5 @@
 /*
- * gateway_relay.c
+ * proxy_request.c
  * one request at a gateway: how it ends
  */
 #include <libcometspindle/adapters/gateway/gateway_crashes.h>
@@ -10,13 +10,13 @@
 
 /* Tells the keeper of the slot that it is free, and how fast a whole answer was. */
 static void
-release_slot(struct comet_relay *relay, enum comet_dispatch_result result, uint32_t events)
+release_slot(struct comet_proxy_request *relay, enum comet_dispatch_result result, uint32_t events)
 {
 	bool whole = result == COMET_DISPATCH_SERVED && relay->first_us != 0 &&
-		     comet_relay_was_measured(relay);
-	bool stream = comet_relay_is_stream(relay);
+		     comet_proxy_request_timing_is_valid(relay);
+	bool stream = comet_proxy_request_is_stream(relay);
 	uint64_t begun_us = stream ? relay->first_us : relay->sent_us;
-	const struct comet_grants_end end = {
+	const struct comet_grants_completion end = {
 		.result = result,
 		.stream = stream,
 		.events = whole ? events : 0,
@@ -25,7 +25,8 @@
 
 	if (relay->item.keeper == 0)
 		return;
-	comet_grants_release(relay->gateway->grants, relay->item.keeper, relay->life, &end);
+	comet_grants_release(
+		relay->gateway->grants, relay->item.keeper, relay->incarnation_key, &end);
 	relay->item.keeper = 0;
 }
 
@@ -33,7 +34,7 @@
  * were put behind an event that a silent endpoint had left unfinished, and both went on as one
  * event. */
 static void
-drop_unsent(struct comet_relay *relay)
+drop_unsent(struct comet_proxy_request *relay)
 {
 	relay->unfinished_bytes = 0;
 	if (relay->events != NULL)
@@ -43,35 +44,37 @@
 
 /* Ends what is under way at an endpoint, and tells what became of it. */
 void
-comet_relay_end_sending(struct comet_relay *relay, enum comet_dispatch_result result)
+comet_proxy_request_end_attempt(
+	struct comet_proxy_request *relay, enum comet_dispatch_result result)
 {
 	struct comet_gateway *gateway = relay->gateway;
-	struct comet_instance *instance = comet_relay_instance(relay);
+	struct comet_instance *instance = comet_proxy_request_instance(relay);
 	uint64_t now_us = comet_timers_now_us();
-	uint32_t events = comet_relay_events(relay) - relay->first_count;
+	uint32_t events = comet_proxy_request_events(relay) - relay->first_count;
 
 	comet_timer_cancel(&relay->silence);
-	comet_gateway_run_ends(relay, result);
+	comet_gateway_attempt_ending(relay, result);
 	if (instance != NULL)
 	{
-		uint64_t taken_us = comet_relay_is_stream(relay) ? relay->last_us - relay->first_us
-								 : now_us - relay->sent_us;
-		if (!comet_relay_was_measured(relay))
+		uint64_t taken_us = comet_proxy_request_is_stream(relay)
+					    ? relay->last_us - relay->first_us
+					    : now_us - relay->sent_us;
+		if (!comet_proxy_request_timing_is_valid(relay))
 			taken_us = COMET_INSTANCE_UNMEASURED;
 		if (comet_instance_ended(instance, &relay->item.job, relay->first_us != 0, result,
 			    taken_us, events, now_us))
 			comet_log(COMET_LOG_NOTICE,
 				"event=endpoint_%s endpoint=%s result=%s failures=%u "
 				"error_rate=%.2f",
-				instance->avoid_us != 0 ? "avoided" : "trusted", instance->id,
-				comet_dispatch_result_name(result), instance->failures,
-				instance->error_rate);
-		comet_placement_freed(gateway->placement, instance);
+				instance->ejected_until_us != 0 ? "avoided" : "trusted",
+				instance->id, comet_dispatch_result_name(result),
+				instance->failures, instance->error_rate);
+		comet_placement_slot_released(gateway->placement, instance);
 	}
 	release_slot(relay, result, events);
 	drop_unsent(relay);
-	g_queue_delete_link(&gateway->sendings, relay->sending);
-	relay->sending = NULL;
+	g_queue_delete_link(&gateway->active_attempts, relay->attempt);
+	relay->attempt = NULL;
 	TALLOC_FREE(relay->instance);
 	TALLOC_FREE(relay->exchange);
 	TALLOC_FREE(relay->head);
@@ -80,18 +83,18 @@
 
 /* The request is over; the caller has its answer, or is gone. */
 void
-comet_relay_close(struct comet_relay *relay)
+comet_proxy_request_close(struct comet_proxy_request *relay)
 {
 	struct comet_gateway *gateway = relay->gateway;
 
-	comet_placement_withdraw(gateway->placement, &relay->item);
-	comet_charges_forget(gateway->charges, relay);
+	comet_placement_cancel(gateway->placement, &relay->item);
+	comet_quota_requests_cancel(gateway->charges, relay);
 	talloc_free(relay);
 	comet_placement_run(gateway->placement, comet_timers_now_us());
 }
 
 void
-comet_relay_count_end(const struct comet_relay *relay, const char *reason)
+comet_proxy_request_count_end(const struct comet_proxy_request *relay, const char *reason)
 {
 	char labels[128];
 
@@ -101,30 +104,31 @@
 		g_snprintf(labels, sizeof labels, "end=\"%s\",kind=\"%s\",rank=\"%u\"", reason,
 			comet_route_kind_name(relay->route->kind),
 			comet_placement_rank(&relay->item));
-	comet_tally_add(relay->gateway->ends, labels);
+	comet_counter_set_add(relay->gateway->ends, labels);
 }
 
 /* Answers with an error of our own, with further headers and a text. Frees it. */
 static void
-answer_error(struct comet_relay *relay, unsigned int status, const char *reason,
+answer_error(struct comet_proxy_request *relay, unsigned int status, const char *reason,
 	uint32_t retry_after_ms, const char *headers, const char *text)
 {
-	struct comet_front_request *request = relay->request;
+	struct comet_http_server_request *request = relay->request;
 
 	comet_log(COMET_LOG_NOTICE,
 		"event=refused request=%s status=%u reason=%s retry_after_ms=%u "
 		"held_ms=%" G_GUINT64_FORMAT " attempts=%u",
 		relay->id, status, reason, retry_after_ms,
-		comet_relay_since_ms(relay->arrived_us, comet_timers_now_us()), relay->attempts);
-	comet_relay_count_end(relay, reason);
+		comet_proxy_request_elapsed_ms(relay->arrived_us, comet_timers_now_us()),
+		relay->attempts);
+	comet_proxy_request_count_end(relay, reason);
 	request->user = NULL;
-	comet_relay_close(relay);
-	comet_front_answer(request, status, headers, text, strlen(text));
+	comet_proxy_request_close(relay);
+	comet_http_server_respond(request, status, headers, text, strlen(text));
 }
 
 void
-comet_relay_answer(
-	struct comet_relay *relay, unsigned int status, const char *reason, uint32_t retry_after_ms)
+comet_proxy_request_respond_error(struct comet_proxy_request *relay, unsigned int status,
+	const char *reason, uint32_t retry_after_ms)
 {
 	char headers[64] = "";
 
@@ -136,25 +140,25 @@
 
 /* It was not run: what it was charged comes back to its team. */
 static void
-give_back_charge(struct comet_relay *relay)
+give_back_charge(struct comet_proxy_request *relay)
 {
 	struct comet_gateway *gateway = relay->gateway;
 
 	if (!relay->charged)
 		return;
 	relay->charged = false;
-	comet_allowance_give_back(
-		gateway->allowance, relay->team->id, relay->charge, comet_timers_now_us());
-	if (relay->charged_by == 0)
+	comet_rate_limiter_refund(
+		gateway->rate_limiter, relay->team->id, relay->charge, comet_timers_now_us());
+	if (relay->quota_owner_vm == 0)
 		return;
-	const struct comet_charge charge = comet_relay_charge_of(relay);
-	comet_charges_return(gateway->charges, relay->charged_by, &charge);
+	const struct comet_quota_request charge = comet_proxy_request_charge_amount(relay);
+	comet_quota_requests_refund(gateway->charges, relay->quota_owner_vm, &charge);
 }
 
 /* 400 is what callers do not repeat. 503 asks them to come back, and after 502 some try once more
  * at once. */
 void
-comet_relay_refuse_for_good(struct comet_relay *relay)
+comet_proxy_request_refuse_quarantined(struct comet_proxy_request *relay)
 {
 	comet_log(COMET_LOG_INFO,
 		"event=request_is_barred request=%s fingerprint=%016" G_GINT64_MODIFIER "x",
@@ -168,87 +172,90 @@
 
 /* It was not run and will not be: says so, and gives back what it was charged. */
 void
-comet_relay_refuse(struct comet_relay *relay, const char *reason, uint32_t retry_after_ms)
+comet_proxy_request_refuse(
+	struct comet_proxy_request *relay, const char *reason, uint32_t retry_after_ms)
 {
 	struct comet_gateway *gateway = relay->gateway;
 
-	if (comet_relay_is_barred(relay))
+	if (comet_proxy_request_is_quarantined(relay))
 	{
-		comet_relay_refuse_for_good(relay);
+		comet_proxy_request_refuse_quarantined(relay);
 		return;
 	}
 	if (relay->may_have_run)
 	{
 		gateway->counts.failed++;
-		comet_relay_answer(relay, 502, reason, 0);
+		comet_proxy_request_respond_error(relay, 502, reason, 0);
 		return;
 	}
 	gateway->counts.refused_early++;
 	give_back_charge(relay);
-	comet_relay_answer(relay, 503, reason, retry_after_ms);
+	comet_proxy_request_respond_error(relay, 503, reason, retry_after_ms);
 }
 
 /* The answer cannot be finished: the caller must see that. */
 void
-comet_relay_cut(struct comet_relay *relay, const char *reason)
+comet_proxy_request_abort(struct comet_proxy_request *relay, const char *reason)
 {
-	struct comet_front_request *request = relay->request;
+	struct comet_http_server_request *request = relay->request;
 
 	relay->gateway->counts.cut++;
 	comet_log(COMET_LOG_NOTICE,
 		"event=cut request=%s reason=%s held_ms=%" G_GUINT64_FORMAT
 		" events=%u attempts=%u unsent_bytes=%zu",
-		relay->id, reason, comet_relay_since_ms(relay->arrived_us, comet_timers_now_us()),
-		comet_relay_events(relay), relay->attempts, comet_front_queued(request));
-	comet_relay_count_end(relay, reason);
+		relay->id, reason,
+		comet_proxy_request_elapsed_ms(relay->arrived_us, comet_timers_now_us()),
+		comet_proxy_request_events(relay), relay->attempts,
+		comet_http_server_queued_bytes(request));
+	comet_proxy_request_count_end(relay, reason);
 	request->user = NULL;
-	comet_relay_close(relay);
-	comet_front_abort(request);
+	comet_proxy_request_close(relay);
+	comet_http_server_abort_response(request);
 }
 
 /* Gives up with what is true: cut, may have run, or not run. */
 void
-comet_relay_give_up(struct comet_relay *relay, unsigned int status, const char *reason)
+comet_proxy_request_fail(struct comet_proxy_request *relay, unsigned int status, const char *reason)
 {
 	if (relay->started)
 	{
-		comet_relay_cut(relay, reason);
+		comet_proxy_request_abort(relay, reason);
 		return;
 	}
-	if (!relay->may_have_run || comet_relay_is_barred(relay))
+	if (!relay->may_have_run || comet_proxy_request_is_quarantined(relay))
 	{
-		comet_relay_refuse(relay, reason,
+		comet_proxy_request_refuse(relay, reason,
 			(uint32_t)(comet_placement_wait_us(relay->gateway->placement, &relay->item,
 					   comet_timers_now_us()) /
 				   1000));
 		return;
 	}
 	relay->gateway->counts.failed++;
-	comet_relay_answer(relay, status, reason, 0);
+	comet_proxy_request_respond_error(relay, status, reason, 0);
 }
 
 void
-comet_relay_refuse_barred(struct comet_gateway *gateway)
+comet_proxy_request_refuse_all_quarantined(struct comet_gateway *gateway)
 {
-	GList *at = gateway->barred_anew ? gateway->relays.head : NULL;
+	GList *at = gateway->newly_quarantined ? gateway->relays.head : NULL;
 
-	gateway->barred_anew = false;
+	gateway->newly_quarantined = false;
 	while (at != NULL)
 	{
-		struct comet_relay *relay = at->data;
+		struct comet_proxy_request *relay = at->data;
 		at = at->next;
-		if (relay->sending != NULL || !comet_relay_is_barred(relay))
+		if (relay->attempt != NULL || !comet_proxy_request_is_quarantined(relay))
 			continue;
-		comet_relay_give_up(relay, 502, "crashes_endpoints");
+		comet_proxy_request_fail(relay, 502, "crashes_endpoints");
 		at = gateway->relays.head; /* others may have ended with it */
 	}
 }
 
 static void
-on_gone(void *ctx, struct comet_front_request *request)
+on_gone(void *ctx, struct comet_http_server_request *request)
 {
 	struct comet_gateway *gateway = ctx;
-	struct comet_relay *relay = request->user;
+	struct comet_proxy_request *relay = request->user;
 
 	if (relay == NULL)
 		return;
@@ -256,17 +263,18 @@
 	comet_log(COMET_LOG_INFO,
 		"event=caller_left request=%s endpoint=%s held_ms=%" G_GUINT64_FORMAT " started=%d",
 		relay->id, relay->instance != NULL ? relay->instance : "-",
-		comet_relay_since_ms(relay->arrived_us, comet_timers_now_us()), relay->started);
+		comet_proxy_request_elapsed_ms(relay->arrived_us, comet_timers_now_us()),
+		relay->started);
 	if (relay->instance != NULL)
-		comet_relay_end_sending(relay, COMET_DISPATCH_CANCELLED);
-	comet_relay_count_end(relay, "caller_left");
-	comet_relay_close(relay);
+		comet_proxy_request_end_attempt(relay, COMET_DISPATCH_CANCELLED);
+	comet_proxy_request_count_end(relay, "caller_left");
+	comet_proxy_request_close(relay);
 }
 
 static void
-on_drained(void *ctx, struct comet_front_request *request)
+on_drained(void *ctx, struct comet_http_server_request *request)
 {
-	struct comet_relay *relay = request->user;
+	struct comet_proxy_request *relay = request->user;
 
 	(void)ctx;
 	if (relay == NULL || !relay->paused || relay->exchange == NULL)
@@ -276,5 +284,5 @@
 	comet_exchange_pause(relay->exchange, false);
 }
 
-const struct comet_front_events comet_gateway_caller_events = {
-	.request = comet_relay_take, .gone = on_gone, .drained = on_drained};
+const struct comet_http_server_events comet_gateway_caller_events = {
+	.request = comet_proxy_request_handle, .gone = on_gone, .drained = on_drained};
--- a/libcometspindle/adapters/gateway/gateway_relay.h
+++ b/libcometspindle/adapters/gateway/proxy_request.h
@@ -1,19 +1,19 @@
 /*
- * gateway_relay.h
+ * proxy_request.h
  * one request at a gateway: what its admission, its sendings and its answer share
  */
-#ifndef COMETSPINDLE_ADAPTERS_GATEWAY_RELAY_H
-#define COMETSPINDLE_ADAPTERS_GATEWAY_RELAY_H
+#ifndef COMETSPINDLE_ADAPTERS_PROXY_REQUEST_H
+#define COMETSPINDLE_ADAPTERS_PROXY_REQUEST_H
 
 #include <libcometspindle/adapters/gateway/gateway_private.h>
 #include <libcometspindle/gateway/event_stream.h>
 #include <libcometspindle/gateway/admission/fingerprint.h>
 
 /** A request from its admission to its end. */
-struct comet_relay
+struct comet_proxy_request
 {
 	struct comet_gateway *gateway;
-	struct comet_front_request *request;
+	struct comet_http_server_request *request;
 	struct comet_route_table *table;
 	const struct comet_route *route;
 	const struct comet_route_team *team; /* NULL: an open route */
@@ -26,18 +26,19 @@
 	struct comet_timer *undecided;     /* its team's limit is looked at again */
 	struct comet_timer *deadline;
 	struct comet_timer *silence;
-	char *instance;   /* id of where it is now */
-	uint64_t born_ms; /* life of that instance's process */
-	uint32_t life;    /* key of that life */
-	GList *sending;   /* its place among the gateway's sendings; NULL: it is nowhere */
-	GList *open;      /* its place among the gateway's open requests */
+	char *instance;            /* id of where it is now */
+	uint64_t process_start_ms; /* life of that instance's process */
+	uint32_t incarnation_key;  /* key of that life */
+	GList *attempt;            /* its place among the gateway's sendings; NULL: it is nowhere */
+	GList *open;               /* its place among the gateway's open requests */
 	GByteArray *answer;
 	struct comet_http_head *head; /* copy of the answer's head, or NULL */
 	uint64_t charge;              /* to its team, in the unit of its limit */
 	/** Goes on with it once it is charged. */
-	void (*admitted)(struct comet_relay *relay, uint64_t now_us);
-	uint32_t keepers_asked; /* to charge it */
-	uint32_t charged_by; /* VM that keeps the team's account; 0: this one charged it itself */
+	void (*admitted)(struct comet_proxy_request *relay, uint64_t now_us);
+	uint32_t owners_tried;   /* to charge it */
+	uint32_t quota_owner_vm; /* VM that keeps the team's account; 0: this one charged it itself
+				  */
 	uint64_t arrived_us;
 	uint64_t end_us; /* the caller waits no longer */
 	uint64_t sent_us;
@@ -58,105 +59,110 @@
 	bool started;  /* the answer's head is on its way to the caller */
 	bool resuming; /* this sending goes on with a stream that was cut */
 	bool paused;
-	bool anywhere; /* it may come to an endpoint that has had it before */
+	bool allow_tried; /* it may come to an endpoint that has had it before */
 };
 
 bool
-comet_relay_is_stream(const struct comet_relay *relay);
+comet_proxy_request_is_stream(const struct comet_proxy_request *relay);
 
 /** Where the request is now; NULL when nowhere, or when that life of the endpoint is over. */
 struct comet_instance *
-comet_relay_instance(const struct comet_relay *relay);
+comet_proxy_request_instance(const struct comet_proxy_request *relay);
 
 /** Has this process run all the time since the sending? Else what passed is not the endpoint's
  * time: a VM that was suspended took its endpoints for slow. */
 bool
-comet_relay_was_measured(const struct comet_relay *relay);
+comet_proxy_request_timing_is_valid(const struct comet_proxy_request *relay);
 
 /** Events that have gone on to the caller. */
 uint32_t
-comet_relay_events(const struct comet_relay *relay);
+comet_proxy_request_events(const struct comet_proxy_request *relay);
 
 /** Milliseconds between two times. */
 uint64_t
-comet_relay_since_ms(uint64_t then_us, uint64_t now_us);
+comet_proxy_request_elapsed_ms(uint64_t then_us, uint64_t now_us);
 
 /** Counts what became of a request; reason is a stable code. */
 void
-comet_relay_count_end(const struct comet_relay *relay, const char *reason);
+comet_proxy_request_count_end(const struct comet_proxy_request *relay, const char *reason);
 
 /** Ends what is under way at an endpoint, and tells what became of it. */
 void
-comet_relay_end_sending(struct comet_relay *relay, enum comet_dispatch_result result);
+comet_proxy_request_end_attempt(
+	struct comet_proxy_request *relay, enum comet_dispatch_result result);
 
 /** The process of an endpoint has started again: what the one before it had is lost. */
 void
-comet_relay_probe_earlier_life(struct comet_gateway *gateway, const char *id, uint64_t born_ms);
+comet_proxy_request_probe_previous_incarnation(
+	struct comet_gateway *gateway, const char *id, uint64_t process_start_ms);
 
 /** Takes a caller's request: admits and places it, or answers it (gateway_admit.c). */
 void
-comet_relay_take(void *ctx, struct comet_front_request *request);
+comet_proxy_request_handle(void *ctx, struct comet_http_server_request *request);
 
 /** What it is to be charged, and to which team; not on an open route. */
-struct comet_charge
-comet_relay_charge_of(const struct comet_relay *relay);
+struct comet_quota_request
+comet_proxy_request_charge_amount(const struct comet_proxy_request *relay);
 
 /** Charges it to its team, here or at the VM that keeps the team's account, and then goes on with
  * admitted, or refuses it (gateway_charges.c). */
 void
-comet_relay_charge(
-	struct comet_relay *relay, void (*admitted)(struct comet_relay *relay, uint64_t now_us));
+comet_proxy_request_charge(struct comet_proxy_request *relay,
+	void (*admitted)(struct comet_proxy_request *relay, uint64_t now_us));
 
 /** Answers those that wait for an endpoint and may not be sent to any more, if some were barred. */
 void
-comet_relay_refuse_barred(struct comet_gateway *gateway);
+comet_proxy_request_refuse_all_quarantined(struct comet_gateway *gateway);
 
 /** Answers with an error of our own; retry_after_ms: 0 for none. Frees it. */
 void
-comet_relay_answer(struct comet_relay *relay, unsigned int status, const char *reason,
-	uint32_t retry_after_ms);
+comet_proxy_request_respond_error(struct comet_proxy_request *relay, unsigned int status,
+	const char *reason, uint32_t retry_after_ms);
 
 /** The request is over: frees it. The caller has its answer, or is gone. */
 void
-comet_relay_close(struct comet_relay *relay);
+comet_proxy_request_close(struct comet_proxy_request *relay);
 
 /** Is it known to crash endpoints, so that it must not be sent to any? */
 bool
-comet_relay_is_barred(const struct comet_relay *relay);
+comet_proxy_request_is_quarantined(const struct comet_proxy_request *relay);
 
 /** Answers that it is not to be tried again, since it crashes endpoints. Frees it. */
 void
-comet_relay_refuse_for_good(struct comet_relay *relay);
+comet_proxy_request_refuse_quarantined(struct comet_proxy_request *relay);
 
 /** Answers that it was not run, or, if it may have been, that nobody knows. Frees it. */
 void
-comet_relay_refuse(struct comet_relay *relay, const char *reason, uint32_t retry_after_ms);
+comet_proxy_request_refuse(
+	struct comet_proxy_request *relay, const char *reason, uint32_t retry_after_ms);
 
 /** The answer cannot be finished, which the caller must see. Frees it. */
 void
-comet_relay_cut(struct comet_relay *relay, const char *reason);
+comet_proxy_request_abort(struct comet_proxy_request *relay, const char *reason);
 
 /** Ends it with what is true: cut, not run, or status if it may have run. Frees it. */
 void
-comet_relay_give_up(struct comet_relay *relay, unsigned int status, const char *reason);
+comet_proxy_request_fail(
+	struct comet_proxy_request *relay, unsigned int status, const char *reason);
 
 /** May it be sent once more? Takes from the retry budget. */
 bool
-comet_relay_may_repeat(struct comet_relay *relay);
+comet_proxy_request_may_retry(struct comet_proxy_request *relay);
 
 /** Places it again. */
 void
-comet_relay_place_again(struct comet_relay *relay, const char *reason);
+comet_proxy_request_retry(struct comet_proxy_request *relay, const char *reason);
 
 /** A sending failed in a way that may have run it: repeats, resumes or gives up. */
 void
-comet_relay_sending_broke(struct comet_relay *relay, enum comet_dispatch_result result);
+comet_proxy_request_attempt_failed(
+	struct comet_proxy_request *relay, enum comet_dispatch_result result);
 
 /** The endpoint said that it has not run it. */
 void
-comet_relay_sending_refused(struct comet_relay *relay);
+comet_proxy_request_attempt_refused(struct comet_proxy_request *relay);
 
 /** What an endpoint's answer is handed to (gateway_answer.c). */
-extern const struct comet_exchange_events comet_relay_answer_events;
+extern const struct comet_exchange_events comet_proxy_request_response_events;
 
 #endif
--- /dev/null
+++ b/libcometspindle/adapters/gateway/proxy_request_state.c
@@ -0,0 +1,53 @@
+/*
+ * proxy_request_state.c
+ * one request at a gateway: what can be told of it at any time
+ */
+#include <libcometspindle/adapters/gateway/proxy_request.h>
+
+bool
+comet_proxy_request_is_stream(const struct comet_proxy_request *relay)
+{
+	return relay->route->kind == COMET_ROUTE_STREAM;
+}
+
+struct comet_instance *
+comet_proxy_request_instance(const struct comet_proxy_request *relay)
+{
+	if (relay->instance == NULL)
+		return NULL;
+	struct comet_instance *instance =
+		comet_instances_find(relay->gateway->instances, relay->instance);
+	return instance != NULL && instance->process_start_ms == relay->process_start_ms ? instance
+											 : NULL;
+}
+
+bool
+comet_proxy_request_timing_is_valid(const struct comet_proxy_request *relay)
+{
+	return relay->gateway->pause_detected_us < relay->sent_us;
+}
+
+uint32_t
+comet_proxy_request_events(const struct comet_proxy_request *relay)
+{
+	return relay->events != NULL ? comet_event_stream_count(relay->events) : 0;
+}
+
+uint64_t
+comet_proxy_request_elapsed_ms(uint64_t then_us, uint64_t now_us)
+{
+	return (now_us - then_us) / 1000;
+}
+
+bool
+comet_proxy_request_is_quarantined(const struct comet_proxy_request *relay)
+{
+	return relay->route != NULL && comet_crash_tracker_is_quarantined(
+					       relay->gateway->crash_tracker, &relay->fingerprint);
+}
+
+struct comet_quota_request
+comet_proxy_request_charge_amount(const struct comet_proxy_request *relay)
+{
+	return (struct comet_quota_request){relay->team->id, relay->route->priority, relay->charge};
+}
--- a/libcometspindle/adapters/peers/view_link.c
+++ b/libcometspindle/adapters/peers/datagram_socket.c
@@ -1,14 +1,14 @@
 /*
- * view_link.c
+ * datagram_socket.c
  * sends and receives views between VMs by UDP
  */
-#include <libcometspindle/adapters/peers/view_link.h>
+#include <libcometspindle/adapters/peers/datagram_socket.h>
 
 #include <arpa/inet.h>
 #include <errno.h>
 #include <libcometspindle/adapters/socket.h>
 #include <libcometspindle/error.h>
-#include <libcometspindle/gateway/fleet/views.h>
+#include <libcometspindle/gateway/fleet/gossip.h>
 #include <sys/socket.h>
 #include <talloc.h>
 #include <unistd.h>
@@ -16,12 +16,12 @@
 /* Datagrams taken in one turn of the loop; the rest wait for the next turn. */
 #define DATAGRAMS_PER_TURN 64
 
-struct comet_view_link
+struct comet_datagram_socket
 {
 	struct tevent_fd *event;
-	comet_view_link_handler handler;
+	comet_datagram_socket_handler handler;
 	void *ctx;
-	struct comet_bytes bytes;
+	struct comet_byte_counters bytes;
 	uint64_t unsent;
 	uint32_t address;
 	uint16_t port;
@@ -31,7 +31,7 @@
 static void
 on_ready(struct tevent_context *ev, struct tevent_fd *event, uint16_t flags, void *data)
 {
-	struct comet_view_link *link = data;
+	struct comet_datagram_socket *link = data;
 	uint8_t buffer[COMET_DATAGRAM_BYTES_MAX + 1];
 
 	(void)ev;
@@ -48,16 +48,16 @@
 }
 
 static int
-link_destroy(struct comet_view_link *link)
+link_destroy(struct comet_datagram_socket *link)
 {
 	talloc_free(link->event);
 	close(link->fd);
 	return 0;
 }
 
-struct comet_view_link *
-comet_view_link_create(void *parent, struct tevent_context *ev, const char *address,
-	comet_view_link_handler handler, void *ctx, GError **error)
+struct comet_datagram_socket *
+comet_datagram_socket_create(void *parent, struct tevent_context *ev, const char *address,
+	comet_datagram_socket_handler handler, void *ctx, GError **error)
 {
 	struct sockaddr_in at;
 
@@ -76,7 +76,7 @@
 			close(fd);
 		return NULL;
 	}
-	struct comet_view_link *link = talloc_zero(parent, struct comet_view_link);
+	struct comet_datagram_socket *link = talloc_zero(parent, struct comet_datagram_socket);
 	link->fd = fd;
 	link->address = ntohl(at.sin_addr.s_addr);
 	link->port = ntohs(at.sin_port);
@@ -88,8 +88,8 @@
 }
 
 void
-comet_view_link_send(
-	struct comet_view_link *link, uint32_t address, const uint8_t *data, size_t length)
+comet_datagram_socket_send(
+	struct comet_datagram_socket *link, uint32_t address, const uint8_t *data, size_t length)
 {
 	struct sockaddr_in to = {
 		.sin_family = AF_INET,
@@ -104,23 +104,23 @@
 		link->bytes.sent += length;
 }
 
-const struct comet_bytes *
-comet_view_link_bytes(const struct comet_view_link *link)
+const struct comet_byte_counters *
+comet_datagram_socket_bytes(const struct comet_datagram_socket *link)
 {
 	return &link->bytes;
 }
 
 uint32_t
-comet_view_link_address(const struct comet_view_link *link)
+comet_datagram_socket_address(const struct comet_datagram_socket *link)
 {
 	return link->address;
 }
 
 const char *
-comet_view_link_text(uint32_t address, char text[COMET_VIEW_ADDRESS_MAX])
+comet_datagram_socket_format_address(uint32_t address, char text[COMET_IPV4_TEXT_BYTES])
 {
 	struct in_addr at = {.s_addr = htonl(address)};
 
-	inet_ntop(AF_INET, &at, text, COMET_VIEW_ADDRESS_MAX); /* cannot fail: the room suffices */
+	inet_ntop(AF_INET, &at, text, COMET_IPV4_TEXT_BYTES); /* cannot fail: the room suffices */
 	return text;
 }
--- /dev/null
+++ b/libcometspindle/adapters/peers/datagram_socket.h
@@ -0,0 +1,47 @@
+/*
+ * datagram_socket.h
+ * sends and receives views between VMs by UDP
+ *
+ * Only the newest view of a VM matters, so a lost datagram is nothing to
+ * repeat, and one from before a cut or a pause is never delivered late, as a
+ * queue on a connection would do.
+ */
+#ifndef COMETSPINDLE_ADAPTERS_DATAGRAM_SOCKET_H
+#define COMETSPINDLE_ADAPTERS_DATAGRAM_SOCKET_H
+
+#include <glib.h>
+#include <libcometspindle/adapters/byte_counters.h>
+#include <stddef.h>
+#include <stdint.h>
+#include <tevent.h>
+
+struct comet_datagram_socket;
+
+typedef void (*comet_datagram_socket_handler)(void *ctx, const uint8_t *data, size_t length);
+
+/** Binds to "a.b.c.d:port"; NULL and error when that fails. */
+struct comet_datagram_socket *
+comet_datagram_socket_create(void *parent, struct tevent_context *ev, const char *address,
+	comet_datagram_socket_handler handler, void *ctx, GError **error) G_GNUC_WARN_UNUSED_RESULT;
+
+/** Bytes of datagrams so far. */
+const struct comet_byte_counters *
+comet_datagram_socket_bytes(const struct comet_datagram_socket *link);
+
+/** Sends to the same port of another VM (IPv4, host order). */
+void
+comet_datagram_socket_send(
+	struct comet_datagram_socket *link, uint32_t address, const uint8_t *data, size_t length);
+
+/** Room for an address as text. */
+#define COMET_IPV4_TEXT_BYTES 16
+
+/** Writes an address (IPv4, host order) as text. @return text */
+const char *
+comet_datagram_socket_format_address(uint32_t address, char text[COMET_IPV4_TEXT_BYTES]);
+
+/** This VM's own IPv4 address, host order. */
+uint32_t
+comet_datagram_socket_address(const struct comet_datagram_socket *link);
+
+#endif
--- a/libcometspindle/adapters/platform/platform_http.c
+++ b/libcometspindle/adapters/platform/platform_http.c
@@ -14,7 +14,7 @@
 
 #include <libcometspindle/adapters/clock.h>
 #include <libcometspindle/bundle.h>
-#include <libcometspindle/check.h>
+#include <libcometspindle/json_validator.h>
 #include <libcometspindle/hash.h>
 #include <libcometspindle/log.h>
 #include <string.h>
@@ -183,19 +183,21 @@
 }
 
 static void
-read_vm(struct comet_check *check, struct json_object *value, size_t index, struct comet_vm *vm)
+read_vm(struct comet_json_validator *check, struct json_object *value, size_t index,
+	struct comet_vm *vm)
 {
 	char path[32];
 
 	g_snprintf(path, sizeof path, "vms[%zu]", index);
-	struct comet_check_object *object = comet_check_object_begin(check, value, path);
-	vm->name = comet_check_string(object, "name", NULL);
-	vm->zone = comet_check_string(object, "zone", NULL);
-	vm->peer = comet_check_string(object, "peer", NULL);
-	vm->caller = comet_check_string(object, "caller", NULL);
-	vm->leaving = comet_check_bool(object, "leaving", false);
+	struct comet_json_validator_object *object =
+		comet_json_validator_object_begin(check, value, path);
+	vm->name = comet_json_validator_string(object, "name", NULL);
+	vm->zone = comet_json_validator_string(object, "zone", NULL);
+	vm->peer = comet_json_validator_string(object, "peer", NULL);
+	vm->caller = comet_json_validator_string(object, "caller", NULL);
+	vm->leaving = comet_json_validator_bool(object, "leaving", false);
 	vm->id = comet_hash_vm(vm->name);
-	comet_check_object_end(object);
+	comet_json_validator_object_end(object);
 }
 
 gboolean
@@ -203,28 +205,29 @@
 	void (*take)(void *ctx, const struct comet_vm *vms, size_t count), void *ctx,
 	GError **error)
 {
-	struct json_object *root = comet_check_parse(text, length, error);
+	struct json_object *root = comet_json_validator_parse(text, length, error);
 
 	if (root == NULL)
 		return FALSE;
-	struct comet_check *check = comet_check_create();
-	struct comet_check_object *object = comet_check_object_begin(check, root, "");
-	struct json_object *array = comet_check_array(object, "vms", true);
+	struct comet_json_validator *check = comet_json_validator_create();
+	struct comet_json_validator_object *object =
+		comet_json_validator_object_begin(check, root, "");
+	struct json_object *array = comet_json_validator_array(object, "vms", true);
 	size_t count = array != NULL ? json_object_array_length(array) : 0;
 	if (count > VMS_MAX)
 	{
-		comet_check_fault(check, "vms", "must have at most %d entries", VMS_MAX);
+		comet_json_validator_fault(check, "vms", "must have at most %d entries", VMS_MAX);
 		count = 0;
 	}
 	struct comet_vm *vms = g_new0(struct comet_vm, count + 1);
 	for (size_t i = 0; i < count; i++)
 		read_vm(check, json_object_array_get_idx(array, i), i, &vms[i]);
-	comet_check_object_end(object);
-	gboolean good = comet_check_finish(check, error);
+	comet_json_validator_object_end(object);
+	gboolean good = comet_json_validator_finish(check, error);
 	if (good)
 		take(ctx, vms, count);
 	g_free(vms);
-	comet_check_destroy(check);
+	comet_json_validator_destroy(check);
 	json_object_put(root);
 	return good;
 }
--- a/libcometspindle/adapters/socket.c
+++ b/libcometspindle/adapters/socket.c
@@ -36,7 +36,7 @@
 	struct tevent_fd *event;
 	const struct comet_socket_events *events;
 	void *ctx;
-	struct comet_bytes *bytes; /* counted by whom it serves; NULL: not counted */
+	struct comet_byte_counters *bytes; /* counted by whom it serves; NULL: not counted */
 	GByteArray *queue;
 	size_t written; /* part of the queue that is gone */
 	int fd;
@@ -311,7 +311,7 @@
 }
 
 void
-comet_socket_count(struct comet_socket *socket, struct comet_bytes *bytes)
+comet_socket_count(struct comet_socket *socket, struct comet_byte_counters *bytes)
 {
 	socket->bytes = bytes;
 }
@@ -349,7 +349,7 @@
 }
 
 bool
-comet_socket_has_news(const struct comet_socket *socket)
+comet_socket_has_pending_events(const struct comet_socket *socket)
 {
 	struct pollfd look = {.fd = socket->fd, .events = socket->connecting ? POLLOUT : POLLIN};
 
--- a/libcometspindle/adapters/socket.h
+++ b/libcometspindle/adapters/socket.h
@@ -6,7 +6,7 @@
 #define COMETSPINDLE_ADAPTERS_SOCKET_H
 
 #include <glib.h>
-#include <libcometspindle/adapters/bytes.h>
+#include <libcometspindle/adapters/byte_counters.h>
 #include <netinet/in.h>
 #include <stdbool.h>
 #include <stddef.h>
@@ -51,7 +51,7 @@
 
 /** Counts its bytes from now on, until it is freed. */
 void
-comet_socket_count(struct comet_socket *socket, struct comet_bytes *bytes);
+comet_socket_count(struct comet_socket *socket, struct comet_byte_counters *bytes);
 
 /** Stops or goes on reading. */
 void
@@ -71,7 +71,7 @@
 
 /** @return whether the kernel holds what the loop has not told yet: bytes, an end, a connection. */
 bool
-comet_socket_has_news(const struct comet_socket *socket);
+comet_socket_has_pending_events(const struct comet_socket *socket);
 
 /** Looks, while nothing comes, whether the other side is still there: a connection that has gone
  * silent for good breaks within about two seconds, however long its answer may take. */
