--- a/libcometspindle/bundle.c
+++ b/libcometspindle/bundle.c
@@ -4,7 +4,7 @@
  */
 #include <libcometspindle/bundle.h>
 
-#include <libcometspindle/check.h>
+#include <libcometspindle/json_validator.h>
 #include <libcometspindle/hash.h>
 #include <sodium.h>
 #include <string.h>
@@ -16,10 +16,11 @@
 struct reader
 {
 	struct comet_bundle *bundle;
-	struct comet_check *check;
+	struct comet_json_validator *check;
 };
 
-typedef void (*item_reader)(struct reader *reader, struct comet_check_object *object, size_t index);
+typedef void (*item_reader)(
+	struct reader *reader, struct comet_json_validator_object *object, size_t index);
 
 void
 comet_bundle_hash_key(const char *key, uint8_t hash[COMET_KEY_HASH_BYTES])
@@ -35,30 +36,30 @@
 	for (size_t i = 0; i < length; i++)
 	{
 		char *path = g_strdup_printf("%s[%zu]", name, i);
-		struct comet_check_object *object = comet_check_object_begin(
+		struct comet_json_validator_object *object = comet_json_validator_object_begin(
 			reader->check, json_object_array_get_idx(array, i), path);
 		read(reader, object, i);
-		comet_check_object_end(object);
+		comet_json_validator_object_end(object);
 		g_free(path);
 	}
 }
 
 static void
-fault_key(struct reader *reader, struct comet_check_object *object, const char *key,
+fault_key(struct reader *reader, struct comet_json_validator_object *object, const char *key,
 	const char *rule, const char *value)
 {
-	char *path = g_strdup_printf("%s.%s", comet_check_object_path(object), key);
+	char *path = g_strdup_printf("%s.%s", comet_json_validator_object_path(object), key);
 
-	comet_check_fault(reader->check, path, rule, value);
+	comet_json_validator_fault(reader->check, path, rule, value);
 	g_free(path);
 }
 
 /* Reads the name, which must be new among those of its kind. */
 static char *
-read_name(struct reader *reader, struct comet_check_object *object, GHashTable *taken, uint32_t *id,
-	gpointer item)
+read_name(struct reader *reader, struct comet_json_validator_object *object, GHashTable *taken,
+	uint32_t *id, gpointer item)
 {
-	const char *name = comet_check_string(object, "name", NULL);
+	const char *name = comet_json_validator_string(object, "name", NULL);
 
 	*id = comet_hash_name(name);
 	if (name[0] != '\0' && g_hash_table_contains(taken, GUINT_TO_POINTER(*id)))
@@ -69,19 +70,22 @@
 }
 
 static void
-read_tier(struct reader *reader, struct comet_check_object *object, size_t index)
+read_tier(struct reader *reader, struct comet_json_validator_object *object, size_t index)
 {
 	struct comet_tier *tier = &reader->bundle->tiers[index];
 
-	tier->name = talloc_strdup(reader->bundle, comet_check_string(object, "name", NULL));
-	tier->deadline_ms = (uint32_t)comet_check_int(object, "deadline_ms", 1, 86400000, -1);
-	tier->share_percent = (uint32_t)comet_check_int(object, "share_percent", 1, 100, 100);
+	tier->name =
+		talloc_strdup(reader->bundle, comet_json_validator_string(object, "name", NULL));
+	tier->deadline_ms =
+		(uint32_t)comet_json_validator_int(object, "deadline_ms", 1, 86400000, -1);
+	tier->share_percent =
+		(uint32_t)comet_json_validator_int(object, "share_percent", 1, 100, 100);
 }
 
 static uint32_t
-read_team_tiers(struct reader *reader, struct comet_check_object *object)
+read_team_tiers(struct reader *reader, struct comet_json_validator_object *object)
 {
-	struct json_object *names = comet_check_array(object, "tiers", true);
+	struct json_object *names = comet_json_validator_array(object, "tiers", true);
 	size_t length = names != NULL ? json_object_array_length(names) : 0;
 	uint32_t tiers = 0;
 
@@ -98,40 +102,44 @@
 }
 
 static void
-read_quota(struct reader *reader, struct comet_check_object *object, struct comet_team *team)
+read_quota(
+	struct reader *reader, struct comet_json_validator_object *object, struct comet_team *team)
 {
-	struct json_object *value = comet_check_member(object, "quota", false);
+	struct json_object *value = comet_json_validator_member(object, "quota", false);
 
 	if (value == NULL)
 		return;
-	char *path = g_strdup_printf("%s.quota", comet_check_object_path(object));
-	struct comet_check_object *quota = comet_check_object_begin(reader->check, value, path);
-	team->requests_per_s = (uint32_t)comet_check_int(quota, "requests_per_s", 1, INT32_MAX, 0);
-	team->tokens_per_s = (uint32_t)comet_check_int(quota, "tokens_per_s", 1, INT32_MAX, 0);
-	comet_check_object_end(quota);
+	char *path = g_strdup_printf("%s.quota", comet_json_validator_object_path(object));
+	struct comet_json_validator_object *quota =
+		comet_json_validator_object_begin(reader->check, value, path);
+	team->requests_per_s =
+		(uint32_t)comet_json_validator_int(quota, "requests_per_s", 1, INT32_MAX, 0);
+	team->tokens_per_s =
+		(uint32_t)comet_json_validator_int(quota, "tokens_per_s", 1, INT32_MAX, 0);
+	comet_json_validator_object_end(quota);
 	g_free(path);
 }
 
 static void
-read_team(struct reader *reader, struct comet_check_object *object, size_t index)
+read_team(struct reader *reader, struct comet_json_validator_object *object, size_t index)
 {
 	struct comet_team *team = &reader->bundle->teams[index];
 	size_t got = 0;
 
 	team->name = read_name(reader, object, reader->bundle->team_by_id, &team->id, team);
-	const char *hex = comet_check_string(object, "key_hash", NULL);
+	const char *hex = comet_json_validator_string(object, "key_hash", NULL);
 	if (sodium_hex2bin(team->key_hash, sizeof team->key_hash, hex, strlen(hex), NULL, &got,
 		    NULL) != 0 ||
 		got != sizeof team->key_hash)
 		fault_key(reader, object, "key_hash", "must be 64 hex digits%s", "");
-	team->weight = (uint32_t)comet_check_int(object, "weight", 1, 1000, 1);
-	team->shared_prefix = comet_check_bool(object, "shared_prefix", false);
+	team->weight = (uint32_t)comet_json_validator_int(object, "weight", 1, 1000, 1);
+	team->shared_prefix = comet_json_validator_bool(object, "shared_prefix", false);
 	team->tiers = read_team_tiers(reader, object);
 	read_quota(reader, object, team);
 }
 
 static struct comet_pool *
-read_pool(struct reader *reader, struct comet_check_object *object)
+read_pool(struct reader *reader, struct comet_json_validator_object *object)
 {
 	struct comet_pool *pool = &reader->bundle->pools[reader->bundle->n_pools++];
 
@@ -140,17 +148,17 @@
 }
 
 static void
-read_model(struct reader *reader, struct comet_check_object *object, size_t index)
+read_model(struct reader *reader, struct comet_json_validator_object *object, size_t index)
 {
 	(void)index;
 	read_pool(reader, object);
 }
 
 static void
-read_service(struct reader *reader, struct comet_check_object *object, size_t index)
+read_service(struct reader *reader, struct comet_json_validator_object *object, size_t index)
 {
 	struct comet_pool *pool = read_pool(reader, object);
-	struct json_object *paths = comet_check_array(object, "once_paths", false);
+	struct json_object *paths = comet_json_validator_array(object, "once_paths", false);
 	size_t length = paths != NULL ? json_object_array_length(paths) : 0;
 
 	(void)index;
@@ -165,10 +173,10 @@
 }
 
 static void
-read_endpoint_pools(
-	struct reader *reader, struct comet_check_object *object, struct comet_endpoint *endpoint)
+read_endpoint_pools(struct reader *reader, struct comet_json_validator_object *object,
+	struct comet_endpoint *endpoint)
 {
-	struct json_object *names = comet_check_array(object, "serves", true);
+	struct json_object *names = comet_json_validator_array(object, "serves", true);
 	size_t length = names != NULL ? json_object_array_length(names) : 0;
 
 	endpoint->pools = talloc_zero_array(reader->bundle, uint32_t, (unsigned int)length);
@@ -185,42 +193,50 @@
 }
 
 static void
-read_endpoint(struct reader *reader, struct comet_check_object *object, size_t index)
+read_endpoint(struct reader *reader, struct comet_json_validator_object *object, size_t index)
 {
 	struct comet_endpoint *endpoint = &reader->bundle->endpoints[index];
 
 	endpoint->name =
 		read_name(reader, object, reader->bundle->endpoint_by_id, &endpoint->id, endpoint);
-	endpoint->url = talloc_strdup(reader->bundle, comet_check_string(object, "url", NULL));
+	endpoint->url =
+		talloc_strdup(reader->bundle, comet_json_validator_string(object, "url", NULL));
 	if (!g_str_has_prefix(endpoint->url, "http://") &&
 		!g_str_has_prefix(endpoint->url, "https://"))
 		fault_key(reader, object, "url", "must start with http:// or https://%s", "");
-	endpoint->zone = talloc_strdup(reader->bundle, comet_check_string(object, "zone", NULL));
-	endpoint->batch = (uint32_t)comet_check_int(object, "batch", 1, 4096, 8);
-	endpoint->kv_tokens = (uint32_t)comet_check_int(object, "kv_tokens", 0, INT32_MAX, 65536);
-	endpoint->checks_orders = comet_check_bool(object, "checks_orders", false);
-	endpoint->leaving = comet_check_bool(object, "leaving", false);
+	endpoint->zone =
+		talloc_strdup(reader->bundle, comet_json_validator_string(object, "zone", NULL));
+	endpoint->batch = (uint32_t)comet_json_validator_int(object, "batch", 1, 4096, 8);
+	endpoint->kv_tokens =
+		(uint32_t)comet_json_validator_int(object, "kv_tokens", 0, INT32_MAX, 65536);
+	endpoint->checks_orders = comet_json_validator_bool(object, "checks_orders", false);
+	endpoint->leaving = comet_json_validator_bool(object, "leaving", false);
 	read_endpoint_pools(reader, object, endpoint);
 }
 
 static void
-read_limits(struct reader *reader, struct comet_check_object *root)
+read_limits(struct reader *reader, struct comet_json_validator_object *root)
 {
 	struct comet_limits *limits = &reader->bundle->limits;
-	struct json_object *value = comet_check_member(root, "limits", false);
+	struct json_object *value = comet_json_validator_member(root, "limits", false);
 	struct json_object *empty = json_object_new_object();
-	struct comet_check_object *object =
-		comet_check_object_begin(reader->check, value != NULL ? value : empty, "limits");
+	struct comet_json_validator_object *object = comet_json_validator_object_begin(
+		reader->check, value != NULL ? value : empty, "limits");
 
-	limits->entries_valid_s = (uint32_t)comet_check_int(object, "entries_valid_s", 1, 3600, 5);
+	limits->entries_valid_s =
+		(uint32_t)comet_json_validator_int(object, "entries_valid_s", 1, 3600, 5);
 	limits->shard_endpoints =
-		(uint32_t)comet_check_int(object, "shard_endpoints", 1, 100000, 64);
-	limits->gap_target_ms = (uint32_t)comet_check_int(object, "gap_target_ms", 1, 10000, 42);
-	limits->out_percent = (uint32_t)comet_check_int(object, "out_percent", 1, 100, 50);
-	limits->reuse_weight = (uint32_t)comet_check_int(object, "reuse_weight", 1, 100, 30);
-	limits->key_lifetime_s = (uint32_t)comet_check_int(object, "key_lifetime_s", 1, 86400, 600);
-	limits->clock_skew_ms = (uint32_t)comet_check_int(object, "clock_skew_ms", 1, 60000, 1000);
-	comet_check_object_end(object);
+		(uint32_t)comet_json_validator_int(object, "shard_endpoints", 1, 100000, 64);
+	limits->gap_target_ms =
+		(uint32_t)comet_json_validator_int(object, "gap_target_ms", 1, 10000, 42);
+	limits->out_percent = (uint32_t)comet_json_validator_int(object, "out_percent", 1, 100, 50);
+	limits->reuse_weight =
+		(uint32_t)comet_json_validator_int(object, "reuse_weight", 1, 100, 30);
+	limits->key_lifetime_s =
+		(uint32_t)comet_json_validator_int(object, "key_lifetime_s", 1, 86400, 600);
+	limits->clock_skew_ms =
+		(uint32_t)comet_json_validator_int(object, "clock_skew_ms", 1, 60000, 1000);
+	comet_json_validator_object_end(object);
 	json_object_put(empty);
 }
 
@@ -231,7 +247,7 @@
 
 	if (length <= LIST_MAX)
 		return length;
-	comet_check_fault(reader->check, name, "must have at most %d entries", LIST_MAX);
+	comet_json_validator_fault(reader->check, name, "must have at most %d entries", LIST_MAX);
 	return 0;
 }
 
@@ -251,18 +267,19 @@
 bundle_read(struct reader *reader, struct json_object *document)
 {
 	struct comet_bundle *bundle = reader->bundle;
-	struct comet_check_object *root = comet_check_object_begin(reader->check, document, "");
-	struct json_object *tiers = comet_check_array(root, "tiers", true);
-	struct json_object *teams = comet_check_array(root, "teams", true);
-	struct json_object *models = comet_check_array(root, "models", true);
-	struct json_object *services = comet_check_array(root, "services", false);
-	struct json_object *endpoints = comet_check_array(root, "endpoints", true);
-
-	bundle->version = (uint64_t)comet_check_int(root, "version", 1, INT64_MAX, -1);
+	struct comet_json_validator_object *root =
+		comet_json_validator_object_begin(reader->check, document, "");
+	struct json_object *tiers = comet_json_validator_array(root, "tiers", true);
+	struct json_object *teams = comet_json_validator_array(root, "teams", true);
+	struct json_object *models = comet_json_validator_array(root, "models", true);
+	struct json_object *services = comet_json_validator_array(root, "services", false);
+	struct json_object *endpoints = comet_json_validator_array(root, "endpoints", true);
+
+	bundle->version = (uint64_t)comet_json_validator_int(root, "version", 1, INT64_MAX, -1);
 	bundle->n_tiers = (uint32_t)list_length(reader, tiers, "tiers");
 	if (bundle->n_tiers < 1 || bundle->n_tiers > COMET_TIERS_MAX)
 	{
-		comet_check_fault(
+		comet_json_validator_fault(
 			reader->check, "tiers", "must have 1 to %d entries", COMET_TIERS_MAX);
 		bundle->n_tiers = 0;
 		tiers = NULL;
@@ -282,7 +299,7 @@
 	read_list(reader, bundle->n_endpoints > 0 ? endpoints : NULL, "endpoints", read_endpoint);
 	count_endpoints(bundle);
 	read_limits(reader, root);
-	comet_check_object_end(root);
+	comet_json_validator_object_end(root);
 }
 
 static int
@@ -310,18 +327,18 @@
 struct comet_bundle *
 comet_bundle_parse(const char *text, size_t length, GError **error)
 {
-	struct json_object *document = comet_check_parse(text, length, error);
+	struct json_object *document = comet_json_validator_parse(text, length, error);
 
 	if (document == NULL)
 		return NULL;
-	struct reader reader = {bundle_create(), comet_check_create()};
+	struct reader reader = {bundle_create(), comet_json_validator_create()};
 	bundle_read(&reader, document);
-	if (!comet_check_finish(reader.check, error))
+	if (!comet_json_validator_finish(reader.check, error))
 	{
 		comet_bundle_unref(reader.bundle);
 		reader.bundle = NULL;
 	}
-	comet_check_destroy(reader.check);
+	comet_json_validator_destroy(reader.check);
 	json_object_put(document);
 	return reader.bundle;
 }
--- a/libcometspindle/pack.c
+++ b/libcometspindle/compress.c
@@ -1,8 +1,8 @@
 /*
- * pack.c
+ * compress.c
  * compressed texts, whole or as deltas of an earlier version
  */
-#include <libcometspindle/pack.h>
+#include <libcometspindle/compress.h>
 
 #include <libcometspindle/error.h>
 #include <sodium.h>
@@ -19,7 +19,7 @@
 #define WINDOW_BITS_MAX 24
 
 void
-comet_digest(const struct comet_text *text, char digest[COMET_DIGEST_CHARS])
+comet_digest(const struct comet_byte_span *text, char digest[COMET_DIGEST_CHARS])
 {
 	unsigned char hash[DIGEST_BYTES];
 
@@ -40,7 +40,7 @@
 }
 
 GBytes *
-comet_pack(const struct comet_text *text, const struct comet_text *base)
+comet_compress(const struct comet_byte_span *text, const struct comet_byte_span *base)
 {
 	size_t reach = text->length + (base != NULL ? base->length : 0);
 	size_t room = ZSTD_compressBound(text->length);
@@ -61,7 +61,7 @@
 }
 
 static GBytes *
-decompress(const struct comet_text *packed, const struct comet_text *base, size_t length)
+decompress(const struct comet_byte_span *packed, const struct comet_byte_span *base, size_t length)
 {
 	char *text = g_malloc(length + 1);
 	ZSTD_DCtx *context = ZSTD_createDCtx();
@@ -81,8 +81,8 @@
 }
 
 GBytes *
-comet_unpack(const struct comet_text *packed, const struct comet_text *base, size_t max_bytes,
-	const char *digest, GError **error)
+comet_decompress(const struct comet_byte_span *packed, const struct comet_byte_span *base,
+	size_t max_bytes, const char *digest, GError **error)
 {
 	unsigned long long length = ZSTD_getFrameContentSize(packed->data, packed->length);
 	char found[COMET_DIGEST_CHARS];
@@ -100,7 +100,7 @@
 		g_set_error(error, COMET_ERROR, COMET_ERROR_SYNTAX, "packed text is damaged");
 		return NULL;
 	}
-	struct comet_text text = {g_bytes_get_data(bytes, NULL), (size_t)length};
+	struct comet_byte_span text = {g_bytes_get_data(bytes, NULL), (size_t)length};
 	comet_digest(&text, found);
 	if (strcmp(found, digest) == 0)
 		return bytes;
--- a/libcometspindle/gateway/admission/suspects.c
+++ b/libcometspindle/gateway/admission/crash_suspects.c
@@ -1,8 +1,8 @@
 /*
- * suspects.c
+ * crash_suspects.c
  * runs that ended without an answer, until it is known whether their endpoint's process crashed
  */
-#include <libcometspindle/gateway/admission/suspects.h>
+#include <libcometspindle/gateway/admission/crash_suspects.h>
 
 #include <talloc.h>
 
@@ -33,7 +33,7 @@
 struct suspect
 {
 	struct comet_fingerprint request;
-	uint32_t life;
+	uint32_t incarnation_key;
 	uint64_t at_us;
 	bool cancelled; /* its caller left, while the process worked */
 };
@@ -41,11 +41,11 @@
 /* A life that ended unplanned. */
 struct ended
 {
-	uint32_t life;
+	uint32_t incarnation_key;
 	uint64_t at_us;
 };
 
-struct comet_suspects
+struct comet_crash_suspects
 {
 	GQueue open; /* of struct suspect, oldest first */
 	struct ended ended[ENDED_MAX];
@@ -53,29 +53,31 @@
 };
 
 static int
-suspects_destroy(struct comet_suspects *suspects)
+suspects_destroy(struct comet_crash_suspects *crash_suspects)
 {
-	g_queue_clear_full(&suspects->open, g_free);
+	g_queue_clear_full(&crash_suspects->open, g_free);
 	return 0;
 }
 
-struct comet_suspects *
-comet_suspects_create(void *parent)
+struct comet_crash_suspects *
+comet_crash_suspects_create(void *parent)
 {
-	struct comet_suspects *suspects = talloc_zero(parent, struct comet_suspects);
+	struct comet_crash_suspects *crash_suspects =
+		talloc_zero(parent, struct comet_crash_suspects);
 
-	g_queue_init(&suspects->open);
-	talloc_set_destructor(suspects, suspects_destroy);
-	return suspects;
+	g_queue_init(&crash_suspects->open);
+	talloc_set_destructor(crash_suspects, suspects_destroy);
+	return crash_suspects;
 }
 
 bool
-comet_suspects_has_ended(const struct comet_suspects *suspects, uint32_t life, uint64_t heard_us)
+comet_crash_suspects_has_ended(const struct comet_crash_suspects *crash_suspects,
+	uint32_t incarnation_key, uint64_t last_seen_us)
 {
 	for (size_t i = 0; i < ENDED_MAX; i++)
 	{
-		const struct ended *ended = &suspects->ended[i];
-		if (ended->life == life && heard_us <= ended->at_us)
+		const struct ended *ended = &crash_suspects->ended[i];
+		if (ended->incarnation_key == incarnation_key && last_seen_us <= ended->at_us)
 			return true;
 	}
 	return false;
@@ -83,12 +85,12 @@
 
 /* Makes room for one more: the oldest goes, of the team itself if it has many. */
 static void
-make_room(struct comet_suspects *suspects, uint32_t team)
+make_room(struct comet_crash_suspects *crash_suspects, uint32_t team)
 {
 	GList *oldest_of_team = NULL;
 	uint32_t of_team = 0;
 
-	for (GList *at = suspects->open.tail; at != NULL; at = at->prev)
+	for (GList *at = crash_suspects->open.tail; at != NULL; at = at->prev)
 	{
 		if (((const struct suspect *)at->data)->request.team != team)
 			continue;
@@ -98,59 +100,59 @@
 	GList *out = NULL;
 	if (of_team >= TEAM_SUSPECTS_MAX)
 		out = oldest_of_team;
-	else if (suspects->open.length >= SUSPECTS_MAX)
-		out = suspects->open.head;
+	else if (crash_suspects->open.length >= SUSPECTS_MAX)
+		out = crash_suspects->open.head;
 	if (out == NULL)
 		return;
 	g_free(out->data);
-	g_queue_delete_link(&suspects->open, out);
+	g_queue_delete_link(&crash_suspects->open, out);
 }
 
 void
-comet_suspects_add(
-	struct comet_suspects *suspects, const struct comet_crashes_run *run, uint64_t now_us)
+comet_crash_suspects_add(struct comet_crash_suspects *crash_suspects,
+	const struct comet_crash_tracker_run *run, uint64_t now_us)
 {
-	make_room(suspects, run->request.team);
+	make_room(crash_suspects, run->request.team);
 	struct suspect *suspect = g_new0(struct suspect, 1);
 	suspect->request = run->request;
-	suspect->life = run->life;
+	suspect->incarnation_key = run->incarnation_key;
 	suspect->at_us = now_us;
 	suspect->cancelled = run->cancelled;
-	g_queue_push_tail(&suspects->open, suspect);
+	g_queue_push_tail(&crash_suspects->open, suspect);
 }
 
 /* Takes the suspects of a life out. @return them, oldest first */
 static GList *
-take(struct comet_suspects *suspects, uint32_t life)
+take(struct comet_crash_suspects *crash_suspects, uint32_t incarnation_key)
 {
 	GList *taken = NULL;
 	GList *next = NULL;
 
-	for (GList *at = suspects->open.head; at != NULL; at = next)
+	for (GList *at = crash_suspects->open.head; at != NULL; at = next)
 	{
 		struct suspect *suspect = at->data;
 		next = at->next;
-		if (suspect->life != life)
+		if (suspect->incarnation_key != incarnation_key)
 			continue;
 		taken = g_list_prepend(taken, suspect);
-		g_queue_delete_link(&suspects->open, at);
+		g_queue_delete_link(&crash_suspects->open, at);
 	}
 	return g_list_reverse(taken);
 }
 
 GList *
-comet_suspects_end(
-	struct comet_suspects *suspects, uint32_t life, uint64_t heard_us, uint64_t now_us)
+comet_crash_suspects_process_crashed(struct comet_crash_suspects *crash_suspects,
+	uint32_t incarnation_key, uint64_t last_seen_us, uint64_t now_us)
 {
-	GList *taken = take(suspects, life);
+	GList *taken = take(crash_suspects, incarnation_key);
 	GList *requests = NULL;
 
-	suspects->ended[suspects->next_ended++ % ENDED_MAX] =
-		(struct ended){.life = life, .at_us = now_us};
+	crash_suspects->ended[crash_suspects->next_ended++ % ENDED_MAX] =
+		(struct ended){.incarnation_key = incarnation_key, .at_us = now_us};
 	for (GList *at = taken; at != NULL; at = at->next)
 	{
 		const struct suspect *suspect = at->data;
-		if (heard_us <= suspect->at_us + HEARD_MARGIN_US)
+		if (last_seen_us <= suspect->at_us + HEARD_MARGIN_US)
 			requests = g_list_prepend(
 				requests, g_memdup2(&suspect->request, sizeof suspect->request));
 	}
@@ -159,18 +161,18 @@
 }
 
 void
-comet_suspects_forget(struct comet_suspects *suspects, uint32_t life)
+comet_crash_suspects_forget(struct comet_crash_suspects *crash_suspects, uint32_t incarnation_key)
 {
-	g_list_free_full(take(suspects, life), g_free);
+	g_list_free_full(take(crash_suspects, incarnation_key), g_free);
 }
 
 uint32_t
-comet_suspects_of(const struct comet_suspects *suspects, const struct comet_fingerprint *request,
-	uint64_t now_us)
+comet_crash_suspects_count_request(const struct comet_crash_suspects *crash_suspects,
+	const struct comet_fingerprint *request, uint64_t now_us)
 {
 	uint32_t sum = 0;
 
-	for (GList *at = suspects->open.tail; at != NULL; at = at->prev)
+	for (GList *at = crash_suspects->open.tail; at != NULL; at = at->prev)
 	{
 		const struct suspect *suspect = at->data;
 		if (now_us - suspect->at_us > DOUBT_US)
@@ -182,17 +184,17 @@
 }
 
 void
-comet_suspects_tick(struct comet_suspects *suspects, uint64_t now_us)
+comet_crash_suspects_tick(struct comet_crash_suspects *crash_suspects, uint64_t now_us)
 {
 	const struct suspect *suspect = NULL;
 
-	while ((suspect = g_queue_peek_head(&suspects->open)) != NULL &&
+	while ((suspect = g_queue_peek_head(&crash_suspects->open)) != NULL &&
 		now_us - suspect->at_us > SUSPECT_US)
-		g_free(g_queue_pop_head(&suspects->open));
+		g_free(g_queue_pop_head(&crash_suspects->open));
 }
 
 uint32_t
-comet_suspects_count(const struct comet_suspects *suspects)
+comet_crash_suspects_count(const struct comet_crash_suspects *crash_suspects)
 {
-	return suspects->open.length;
+	return crash_suspects->open.length;
 }
--- a/libcometspindle/gateway/admission/crashes.c
+++ b/libcometspindle/gateway/admission/crash_tracker.c
@@ -1,12 +1,12 @@
 /*
- * crashes.c
+ * crash_tracker.c
  * requests under which endpoints' processes crashed, as this VM and the others saw it
  */
-#include <libcometspindle/gateway/admission/crashes.h>
+#include <libcometspindle/gateway/admission/crash_tracker.h>
 
 #include <glib.h>
-#include <libcometspindle/gateway/admission/life_set.h>
-#include <libcometspindle/gateway/admission/suspects.h>
+#include <libcometspindle/gateway/admission/incarnation_set.h>
+#include <libcometspindle/gateway/admission/crash_suspects.h>
 #include <string.h>
 #include <talloc.h>
 
@@ -42,9 +42,9 @@
 struct record
 {
 	struct comet_fingerprint request;
-	struct comet_life_set crashed;
-	struct comet_life_set excused; /* those of them that were not its doing */
-	uint64_t last_us;              /* the last crash */
+	struct comet_incarnation_set crashed;
+	struct comet_incarnation_set excused; /* those of them that were not its doing */
+	uint64_t last_us;                     /* the last crash */
 	uint64_t changed_us;
 	bool barred;
 };
@@ -56,12 +56,12 @@
 	uint64_t at_us; /* 0: none */
 };
 
-struct comet_crashes
+struct comet_crash_tracker
 {
-	const struct comet_crashes_ops *ops;
+	const struct comet_crash_tracker_ops *ops;
 	void *ctx;
 	GHashTable *records; /* fingerprint -> struct record */
-	struct comet_suspects *suspects;
+	struct comet_crash_suspects *crash_suspects;
 	uint64_t ticked_us;
 	uint32_t new_turn; /* where views go on with records that are new */
 	uint32_t old_turn; /* and with the others */
@@ -83,30 +83,30 @@
 }
 
 static int
-crashes_destroy(struct comet_crashes *crashes)
+crashes_destroy(struct comet_crash_tracker *crash_tracker)
 {
-	g_hash_table_destroy(crashes->records);
+	g_hash_table_destroy(crash_tracker->records);
 	return 0;
 }
 
-struct comet_crashes *
-comet_crashes_create(void *parent, const struct comet_crashes_ops *ops, void *ctx)
+struct comet_crash_tracker *
+comet_crash_tracker_create(void *parent, const struct comet_crash_tracker_ops *ops, void *ctx)
 {
-	struct comet_crashes *crashes = talloc_zero(parent, struct comet_crashes);
+	struct comet_crash_tracker *crash_tracker = talloc_zero(parent, struct comet_crash_tracker);
 
-	crashes->ops = ops;
-	crashes->ctx = ctx;
-	crashes->records =
+	crash_tracker->ops = ops;
+	crash_tracker->ctx = ctx;
+	crash_tracker->records =
 		g_hash_table_new_full(hash_fingerprint, equal_fingerprints, NULL, g_free);
-	crashes->suspects = comet_suspects_create(crashes);
-	talloc_set_destructor(crashes, crashes_destroy);
-	return crashes;
+	crash_tracker->crash_suspects = comet_crash_suspects_create(crash_tracker);
+	talloc_set_destructor(crash_tracker, crashes_destroy);
+	return crash_tracker;
 }
 
 static struct record *
-find(const struct comet_crashes *crashes, const struct comet_fingerprint *request)
+find(const struct comet_crash_tracker *crash_tracker, const struct comet_fingerprint *request)
 {
-	return g_hash_table_lookup(crashes->records, request);
+	return g_hash_table_lookup(crash_tracker->records, request);
 }
 
 /* Crashes that count against a request, as far as it alone tells. */
@@ -116,13 +116,14 @@
 	uint32_t sum = 0;
 
 	for (uint32_t i = 0; i < record->crashed.count; i++)
-		sum += comet_life_set_has(&record->excused, record->crashed.lives[i]) ? 0 : 1;
+		sum += comet_incarnation_set_has(&record->excused, record->crashed.lives[i]) ? 0
+											     : 1;
 	return sum;
 }
 
 /* Is this crash the doing of a request that crashed more than the record's? */
 static bool
-is_explained(const GPtrArray *heavy, const struct record *record, uint32_t life)
+is_explained(const GPtrArray *heavy, const struct record *record, uint32_t incarnation_key)
 {
 	uint32_t own = counted(record);
 
@@ -130,8 +131,8 @@
 	{
 		const struct record *other = heavy->pdata[i];
 		if (other != record && counted(other) > own &&
-			comet_life_set_has(&other->crashed, life) &&
-			!comet_life_set_has(&other->excused, life))
+			comet_incarnation_set_has(&other->crashed, incarnation_key) &&
+			!comet_incarnation_set_has(&other->excused, incarnation_key))
 			return true;
 	}
 	return false;
@@ -144,9 +145,9 @@
 
 	for (uint32_t i = 0; i < record->crashed.count; i++)
 	{
-		uint32_t life = record->crashed.lives[i];
-		if (!comet_life_set_has(&record->excused, life) &&
-			!is_explained(heavy, record, life))
+		uint32_t incarnation_key = record->crashed.lives[i];
+		if (!comet_incarnation_set_has(&record->excused, incarnation_key) &&
+			!is_explained(heavy, record, incarnation_key))
 			sum++;
 	}
 	return sum;
@@ -156,19 +157,19 @@
  * decide the same: were the first to reach the bound the one to blame, a VM that heard of another
  * first would blame that one, and both would go free once they told each other. */
 static void
-decide(struct comet_crashes *crashes, bool own)
+decide(struct comet_crash_tracker *crash_tracker, bool own)
 {
 	GPtrArray *heavy = g_ptr_array_new();
 	GHashTableIter at;
 	gpointer value = NULL;
 
-	g_hash_table_iter_init(&at, crashes->records);
+	g_hash_table_iter_init(&at, crash_tracker->records);
 	while (g_hash_table_iter_next(&at, NULL, &value))
 	{
 		if (counted(value) >= CRASHES_MAX)
 			g_ptr_array_add(heavy, value);
 	}
-	g_hash_table_iter_init(&at, crashes->records);
+	g_hash_table_iter_init(&at, crash_tracker->records);
 	while (g_hash_table_iter_next(&at, NULL, &value))
 	{
 		struct record *record = value;
@@ -177,9 +178,9 @@
 		if (barred == record->barred)
 			continue;
 		record->barred = barred;
-		crashes->ops->news(crashes->ctx, &record->request,
-			barred ? COMET_CRASHES_BARRED : COMET_CRASHES_RELEASED, counted(record),
-			own);
+		crash_tracker->ops->news(crash_tracker->ctx, &record->request,
+			barred ? COMET_CRASH_TRACKER_QUARANTINED : COMET_CRASH_TRACKER_RELEASED,
+			counted(record), own);
 	}
 	g_ptr_array_free(heavy, TRUE);
 }
@@ -195,7 +196,7 @@
 
 /* Makes room for a record: a team that has many gives one of its own. */
 static void
-make_room(struct comet_crashes *crashes, uint32_t team)
+make_room(struct comet_crash_tracker *crash_tracker, uint32_t team)
 {
 	struct record *weakest = NULL;
 	struct record *weakest_of_team = NULL;
@@ -203,7 +204,7 @@
 	GHashTableIter at;
 	gpointer value = NULL;
 
-	g_hash_table_iter_init(&at, crashes->records);
+	g_hash_table_iter_init(&at, crash_tracker->records);
 	while (g_hash_table_iter_next(&at, NULL, &value))
 	{
 		struct record *record = value;
@@ -216,22 +217,22 @@
 			weakest_of_team = record;
 	}
 	if (of_team >= TEAM_RECORDS_MAX)
-		g_hash_table_remove(crashes->records, &weakest_of_team->request);
-	else if (g_hash_table_size(crashes->records) >= RECORDS_MAX)
-		g_hash_table_remove(crashes->records, &weakest->request);
+		g_hash_table_remove(crash_tracker->records, &weakest_of_team->request);
+	else if (g_hash_table_size(crash_tracker->records) >= RECORDS_MAX)
+		g_hash_table_remove(crash_tracker->records, &weakest->request);
 }
 
 static struct record *
-find_or_add(struct comet_crashes *crashes, const struct comet_fingerprint *request)
+find_or_add(struct comet_crash_tracker *crash_tracker, const struct comet_fingerprint *request)
 {
-	struct record *record = find(crashes, request);
+	struct record *record = find(crash_tracker, request);
 
 	if (record == NULL)
 	{
-		make_room(crashes, request->team);
+		make_room(crash_tracker, request->team);
 		record = g_new0(struct record, 1);
 		record->request = *request;
-		g_hash_table_insert(crashes->records, &record->request, record);
+		g_hash_table_insert(crash_tracker->records, &record->request, record);
 	}
 	return record;
 }
@@ -243,21 +244,23 @@
 	bool changed = false;
 
 	for (uint32_t i = 0; i < record->crashed.count; i++)
-		changed = comet_life_set_add(&record->excused, record->crashed.lives[i]) || changed;
+		changed = comet_incarnation_set_add(&record->excused, record->crashed.lives[i]) ||
+			  changed;
 	return changed;
 }
 
 static struct served *
-place_of(struct comet_crashes *crashes, const struct comet_fingerprint *request)
+place_of(struct comet_crash_tracker *crash_tracker, const struct comet_fingerprint *request)
 {
-	return &crashes->served[hash_fingerprint(request) % SERVED_MAX];
+	return &crash_tracker->served[hash_fingerprint(request) % SERVED_MAX];
 }
 
 /* Was it served of late? */
 static bool
-is_sound(struct comet_crashes *crashes, const struct comet_fingerprint *request, uint64_t now_us)
+is_sound(struct comet_crash_tracker *crash_tracker, const struct comet_fingerprint *request,
+	uint64_t now_us)
 {
-	const struct served *served = place_of(crashes, request);
+	const struct served *served = place_of(crash_tracker, request);
 
 	return served->at_us != 0 && now_us - served->at_us < SOUND_US &&
 	       comet_fingerprint_equal(&served->request, request);
@@ -265,102 +268,110 @@
 
 /* A record has changed: what follows from it. */
 static void
-record_changed(struct comet_crashes *crashes, struct record *record, bool own, uint64_t now_us)
+record_changed(
+	struct comet_crash_tracker *crash_tracker, struct record *record, bool own, uint64_t now_us)
 {
 	record->changed_us = now_us;
-	if (is_sound(crashes, &record->request, now_us) && excuse(record))
-		crashes->ops->news(crashes->ctx, &record->request, COMET_CRASHES_EXCUSED, 0, true);
+	if (is_sound(crash_tracker, &record->request, now_us) && excuse(record))
+		crash_tracker->ops->news(
+			crash_tracker->ctx, &record->request, COMET_CRASH_TRACKER_CLEARED, 0, true);
 	else
-		crashes->ops->news(crashes->ctx, &record->request, COMET_CRASHES_COUNTED,
-			counted(record), own);
-	decide(crashes, own);
+		crash_tracker->ops->news(crash_tracker->ctx, &record->request,
+			COMET_CRASH_TRACKER_COUNTED, counted(record), own);
+	decide(crash_tracker, own);
 }
 
 /* An endpoint's process crashed under the request. */
 static void
-blame(struct comet_crashes *crashes, const struct comet_fingerprint *request, uint32_t life,
-	uint64_t now_us)
+blame(struct comet_crash_tracker *crash_tracker, const struct comet_fingerprint *request,
+	uint32_t incarnation_key, uint64_t now_us)
 {
-	struct record *record = find_or_add(crashes, request);
+	struct record *record = find_or_add(crash_tracker, request);
 
-	if (!comet_life_set_add(&record->crashed, life))
+	if (!comet_incarnation_set_add(&record->crashed, incarnation_key))
 		return;
 	record->last_us = now_us;
-	record_changed(crashes, record, true, now_us);
+	record_changed(crash_tracker, record, true, now_us);
 }
 
 bool
-comet_crashes_bars(struct comet_crashes *crashes, const struct comet_fingerprint *request)
+comet_crash_tracker_is_quarantined(
+	struct comet_crash_tracker *crash_tracker, const struct comet_fingerprint *request)
 {
-	const struct record *record = find(crashes, request);
+	const struct record *record = find(crash_tracker, request);
 
 	return record != NULL && record->barred;
 }
 
 bool
-comet_crashes_doubts(
-	struct comet_crashes *crashes, const struct comet_fingerprint *request, uint64_t now_us)
+comet_crash_tracker_is_undecided(struct comet_crash_tracker *crash_tracker,
+	const struct comet_fingerprint *request, uint64_t now_us)
 {
-	const struct record *record = find(crashes, request);
+	const struct record *record = find(crash_tracker, request);
 	uint32_t sum = record != NULL ? counted(record) : 0;
 
 	if (sum == 0)
 		return false;
-	return sum + comet_suspects_of(crashes->suspects, request, now_us) >= CRASHES_MAX;
+	return sum + comet_crash_suspects_count_request(
+			     crash_tracker->crash_suspects, request, now_us) >=
+	       CRASHES_MAX;
 }
 
 void
-comet_crashes_suspect(
-	struct comet_crashes *crashes, const struct comet_crashes_run *run, uint64_t now_us)
+comet_crash_tracker_add_suspect(struct comet_crash_tracker *crash_tracker,
+	const struct comet_crash_tracker_run *run, uint64_t now_us)
 {
-	if (comet_suspects_has_ended(crashes->suspects, run->life, run->heard_us))
-		blame(crashes, &run->request, run->life, now_us);
+	if (comet_crash_suspects_has_ended(
+		    crash_tracker->crash_suspects, run->incarnation_key, run->last_seen_us))
+		blame(crash_tracker, &run->request, run->incarnation_key, now_us);
 	else
-		comet_suspects_add(crashes->suspects, run, now_us);
+		comet_crash_suspects_add(crash_tracker->crash_suspects, run, now_us);
 }
 
 void
-comet_crashes_life_ended(
-	struct comet_crashes *crashes, uint32_t life, uint64_t heard_us, uint64_t now_us)
+comet_crash_tracker_process_crashed(struct comet_crash_tracker *crash_tracker,
+	uint32_t incarnation_key, uint64_t last_seen_us, uint64_t now_us)
 {
-	GList *requests = comet_suspects_end(crashes->suspects, life, heard_us, now_us);
+	GList *requests = comet_crash_suspects_process_crashed(
+		crash_tracker->crash_suspects, incarnation_key, last_seen_us, now_us);
 
 	for (GList *at = requests; at != NULL; at = at->next)
-		blame(crashes, at->data, life, now_us);
+		blame(crash_tracker, at->data, incarnation_key, now_us);
 	g_list_free_full(requests, g_free);
 }
 
 void
-comet_crashes_life_left(struct comet_crashes *crashes, uint32_t life)
+comet_crash_tracker_process_exited(
+	struct comet_crash_tracker *crash_tracker, uint32_t incarnation_key)
 {
-	comet_suspects_forget(crashes->suspects, life);
+	comet_crash_suspects_forget(crash_tracker->crash_suspects, incarnation_key);
 }
 
 void
-comet_crashes_served(
-	struct comet_crashes *crashes, const struct comet_fingerprint *request, uint64_t now_us)
+comet_crash_tracker_served(struct comet_crash_tracker *crash_tracker,
+	const struct comet_fingerprint *request, uint64_t now_us)
 {
-	struct record *record = find(crashes, request);
+	struct record *record = find(crash_tracker, request);
 
-	*place_of(crashes, request) = (struct served){.request = *request, .at_us = now_us};
+	*place_of(crash_tracker, request) = (struct served){.request = *request, .at_us = now_us};
 	if (record == NULL || !excuse(record))
 		return;
 	record->changed_us = now_us;
-	crashes->ops->news(crashes->ctx, request, COMET_CRASHES_EXCUSED, 0, true);
-	decide(crashes, true);
+	crash_tracker->ops->news(crash_tracker->ctx, request, COMET_CRASH_TRACKER_CLEARED, 0, true);
+	decide(crash_tracker, true);
 }
 
 void
-comet_crashes_tick(struct comet_crashes *crashes, uint64_t now_us)
+comet_crash_tracker_tick(struct comet_crash_tracker *crash_tracker, uint64_t now_us)
 {
 	GHashTableIter at;
 	gpointer value = NULL;
 
-	if (now_us - crashes->ticked_us < TICK_US)
+	if (now_us - crash_tracker->ticked_us < TICK_US)
 		return;
-	crashes->ticked_us = now_us;
-	comet_suspects_tick(crashes->suspects, now_us);
-	g_hash_table_iter_init(&at, crashes->records);
+	crash_tracker->ticked_us = now_us;
+	comet_crash_suspects_tick(crash_tracker->crash_suspects, now_us);
+	g_hash_table_iter_init(&at, crash_tracker->records);
 	while (g_hash_table_iter_next(&at, NULL, &value))
 	{
 		const struct record *record = value;
@@ -370,7 +381,7 @@
 }
 
 static void
-put_set(const struct comet_life_set *set, uint32_t *lives, pb_size_t *count)
+put_set(const struct comet_incarnation_set *set, uint32_t *lives, pb_size_t *count)
 {
 	memcpy(lives, set->lives, set->count * sizeof set->lives[0]);
 	*count = (pb_size_t)set->count;
@@ -396,16 +407,16 @@
 /* Those that are new, or the others: from the turn on, so that a team whose requests crash many
  * endpoints does not keep others' records from being told. */
 static size_t
-put_some(struct comet_crashes *crashes, comet_Crashed *records, size_t most, bool new_ones,
-	uint64_t now_us)
+put_some(struct comet_crash_tracker *crash_tracker, comet_Crashed *records, size_t most,
+	bool new_ones, uint64_t now_us)
 {
-	uint32_t *turn = new_ones ? &crashes->new_turn : &crashes->old_turn;
+	uint32_t *turn = new_ones ? &crash_tracker->new_turn : &crash_tracker->old_turn;
 	size_t count = 0;
 	uint32_t index = 0;
 	GHashTableIter at;
 	gpointer value = NULL;
 
-	g_hash_table_iter_init(&at, crashes->records);
+	g_hash_table_iter_init(&at, crash_tracker->records);
 	while (count < most && g_hash_table_iter_next(&at, NULL, &value))
 	{
 		const struct record *record = value;
@@ -417,16 +428,17 @@
 }
 
 size_t
-comet_crashes_put(
-	struct comet_crashes *crashes, comet_Crashed *records, size_t most, uint64_t now_us)
+comet_crash_tracker_encode(struct comet_crash_tracker *crash_tracker, comet_Crashed *records,
+	size_t most, uint64_t now_us)
 {
-	size_t count = put_some(crashes, records, most - 1, true, now_us);
+	size_t count = put_some(crash_tracker, records, most - 1, true, now_us);
 
-	return count + put_some(crashes, records + count, most - count, false, now_us);
+	return count + put_some(crash_tracker, records + count, most - count, false, now_us);
 }
 
 void
-comet_crashes_take(struct comet_crashes *crashes, const comet_Crashed *told, uint64_t now_us)
+comet_crash_tracker_merge(
+	struct comet_crash_tracker *crash_tracker, const comet_Crashed *told, uint64_t now_us)
 {
 	const struct comet_fingerprint request = {.digest = told->digest, .team = told->team};
 	uint64_t age_us = (uint64_t)told->age_ms * 1000;
@@ -434,28 +446,28 @@
 
 	if (told->lives_count == 0 || age_us > KEEP_US)
 		return;
-	struct record *record = find_or_add(crashes, &request);
+	struct record *record = find_or_add(crash_tracker, &request);
 	for (pb_size_t i = 0; i < told->lives_count; i++)
-		changed = comet_life_set_add(&record->crashed, told->lives[i]) || changed;
+		changed = comet_incarnation_set_add(&record->crashed, told->lives[i]) || changed;
 	for (pb_size_t i = 0; i < told->excused_count; i++)
-		changed = comet_life_set_add(&record->excused, told->excused[i]) || changed;
+		changed = comet_incarnation_set_add(&record->excused, told->excused[i]) || changed;
 	if (!changed)
 		return; /* nor a later crash: told back and forth its age would shrink */
 	record->last_us = MAX(record->last_us, now_us - MIN(age_us, now_us));
-	record_changed(crashes, record, false, now_us);
+	record_changed(crash_tracker, record, false, now_us);
 }
 
-struct comet_crashes_counts
-comet_crashes_count(const struct comet_crashes *crashes)
+struct comet_crash_tracker_counts
+comet_crash_tracker_count(const struct comet_crash_tracker *crash_tracker)
 {
-	struct comet_crashes_counts counts = {
-		.records = g_hash_table_size(crashes->records),
-		.suspects = comet_suspects_count(crashes->suspects),
+	struct comet_crash_tracker_counts counts = {
+		.records = g_hash_table_size(crash_tracker->records),
+		.crash_suspects = comet_crash_suspects_count(crash_tracker->crash_suspects),
 	};
 	GHashTableIter at;
 	gpointer value = NULL;
 
-	g_hash_table_iter_init(&at, crashes->records);
+	g_hash_table_iter_init(&at, crash_tracker->records);
 	while (g_hash_table_iter_next(&at, NULL, &value))
 		counts.barred += ((const struct record *)value)->barred ? 1 : 0;
 	return counts;
--- a/libcometspindle/gateway/admission/charges.c
+++ b/libcometspindle/gateway/admission/quota_requests.c
@@ -1,42 +1,43 @@
 /*
- * charges.c
+ * quota_requests.c
  * requests charged to their teams by the VMs that keep the teams' accounts
  */
-#include <libcometspindle/gateway/admission/charges.h>
+#include <libcometspindle/gateway/admission/quota_requests.h>
 
-#include <libcometspindle/gateway/messages/asks.h>
+#include <libcometspindle/gateway/messages/pending_rpcs.h>
 #include <talloc.h>
 
 /* A charge that is not answered yet. */
 struct open_charge
 {
-	struct comet_ask ask; /* first member */
-	struct comet_charge charge;
+	struct comet_pending_rpc ask; /* first member */
+	struct comet_quota_request charge;
 	bool forgotten; /* its owner is gone */
 };
 
-struct comet_charges
+struct comet_quota_requests
 {
 	uint32_t address;
-	const struct comet_charges_ops *ops;
+	const struct comet_quota_requests_ops *ops;
 	void *ctx;
-	struct comet_asks *asks; /* of struct open_charge */
+	struct comet_pending_rpcs *asks; /* of struct open_charge */
 };
 
-struct comet_charges *
-comet_charges_create(void *parent, uint32_t address, const struct comet_charges_ops *ops, void *ctx)
+struct comet_quota_requests *
+comet_quota_requests_create(
+	void *parent, uint32_t address, const struct comet_quota_requests_ops *ops, void *ctx)
 {
-	struct comet_charges *charges = talloc_zero(parent, struct comet_charges);
+	struct comet_quota_requests *charges = talloc_zero(parent, struct comet_quota_requests);
 
 	charges->address = address;
 	charges->ops = ops;
 	charges->ctx = ctx;
-	charges->asks = comet_asks_create(charges, sizeof(struct open_charge));
+	charges->asks = comet_pending_rpcs_create(charges, sizeof(struct open_charge));
 	return charges;
 }
 
 static void
-send(struct comet_charges *charges, uint32_t address, const comet_Datagram *datagram)
+send(struct comet_quota_requests *charges, uint32_t address, const comet_Datagram *datagram)
 {
 	uint8_t data[COMET_DATAGRAM_BYTES_MAX];
 	size_t length = comet_datagram_encode(datagram, data);
@@ -45,10 +46,10 @@
 }
 
 void
-comet_charges_ask(struct comet_charges *charges, void *owner, uint32_t keeper,
-	const struct comet_charge *charge, uint64_t now_us)
+comet_quota_requests_send(struct comet_quota_requests *charges, void *owner, uint32_t keeper,
+	const struct comet_quota_request *charge, uint64_t now_us)
 {
-	struct open_charge *open = comet_asks_add(charges->asks, owner, keeper, now_us);
+	struct open_charge *open = comet_pending_rpcs_add(charges->asks, owner, keeper, now_us);
 	comet_Datagram datagram = {
 		.which_body = comet_Datagram_charge_tag,
 		.body.charge =
@@ -66,9 +67,9 @@
 }
 
 void
-comet_charges_forget(struct comet_charges *charges, const void *owner)
+comet_quota_requests_cancel(struct comet_quota_requests *charges, const void *owner)
 {
-	struct open_charge *open = comet_asks_of(charges->asks, owner);
+	struct open_charge *open = comet_pending_rpcs_find_owner(charges->asks, owner);
 
 	if (open == NULL)
 		return;
@@ -77,8 +78,8 @@
 }
 
 void
-comet_charges_return(
-	struct comet_charges *charges, uint32_t keeper, const struct comet_charge *charge)
+comet_quota_requests_refund(struct comet_quota_requests *charges, uint32_t keeper,
+	const struct comet_quota_request *charge)
 {
 	comet_Datagram datagram = {
 		.which_body = comet_Datagram_returned_tag,
@@ -96,19 +97,20 @@
 /* An answer that comes after the charge was given up changes nothing: it was decided without the
  * keeper, which hears of what was spent by views, as it does of all that it did not charge. */
 static void
-take_answer(struct comet_charges *charges, const comet_ChargeAnswer *answer)
+take_answer(struct comet_quota_requests *charges, const comet_ChargeAnswer *answer)
 {
-	struct open_charge *found = comet_asks_find(charges->asks, answer->number, answer->keeper);
+	struct open_charge *found =
+		comet_pending_rpcs_find(charges->asks, answer->number, answer->keeper);
 
-	comet_asks_heard(charges->asks, answer->keeper);
+	comet_pending_rpcs_mark_responsive(charges->asks, answer->keeper);
 	if (found == NULL)
 		return;
 	struct open_charge open = *found;
-	comet_asks_remove(charges->asks, found);
+	comet_pending_rpcs_remove(charges->asks, found);
 	if (open.forgotten)
 	{
 		if (answer->known && answer->wait_ms == 0)
-			comet_charges_return(charges, open.ask.vm, &open.charge);
+			comet_quota_requests_refund(charges, open.ask.vm, &open.charge);
 		return;
 	}
 	if (answer->known)
@@ -118,9 +120,9 @@
 }
 
 static void
-answer_ask(struct comet_charges *charges, const comet_ChargeAsk *ask)
+answer_ask(struct comet_quota_requests *charges, const comet_ChargeAsk *ask)
 {
-	const struct comet_charge charge = {ask->team, ask->rank, ask->amount};
+	const struct comet_quota_request charge = {ask->team, ask->rank, ask->amount};
 	comet_Datagram datagram = {.which_body = comet_Datagram_charged_tag};
 	comet_ChargeAnswer *answer = &datagram.body.charged;
 
@@ -131,10 +133,10 @@
 }
 
 bool
-comet_charges_receive(struct comet_charges *charges, const comet_Datagram *datagram)
+comet_quota_requests_receive(struct comet_quota_requests *charges, const comet_Datagram *datagram)
 {
 	const comet_ChargeReturned *returned = &datagram->body.returned;
-	struct comet_charge charge = {0};
+	struct comet_quota_request charge = {0};
 
 	switch (datagram->which_body)
 	{
@@ -155,23 +157,24 @@
 }
 
 bool
-comet_charges_tick(struct comet_charges *charges, uint64_t now_us)
+comet_quota_requests_tick(struct comet_quota_requests *charges, uint64_t now_us)
 {
 	struct open_charge *overdue = NULL;
 
-	while ((overdue = comet_asks_overdue(charges->asks, now_us)) != NULL)
+	while ((overdue = comet_pending_rpcs_find_expired(charges->asks, now_us)) != NULL)
 	{
 		struct open_charge open = *overdue;
-		comet_asks_remove(charges->asks, overdue);
-		comet_asks_mute(charges->asks, open.ask.vm, now_us);
+		comet_pending_rpcs_remove(charges->asks, overdue);
+		comet_pending_rpcs_mark_unresponsive(charges->asks, open.ask.vm, now_us);
 		if (!open.forgotten)
 			charges->ops->undecided(charges->ctx, open.ask.owner, open.ask.vm);
 	}
-	return comet_asks_any(charges->asks);
+	return comet_pending_rpcs_has_pending(charges->asks);
 }
 
 bool
-comet_charges_is_mute(const struct comet_charges *charges, uint32_t vm, uint64_t now_us)
+comet_quota_requests_is_unresponsive(
+	const struct comet_quota_requests *charges, uint32_t vm, uint64_t now_us)
 {
-	return comet_asks_is_mute(charges->asks, vm, now_us);
+	return comet_pending_rpcs_is_unresponsive(charges->asks, vm, now_us);
 }
--- a/libcometspindle/gateway/admission/allowance.c
+++ b/libcometspindle/gateway/admission/rate_limiter.c
@@ -1,8 +1,8 @@
 /*
- * allowance.c
+ * rate_limiter.c
  * what each team may still spend, summed over all VMs without shared state
  */
-#include <libcometspindle/gateway/admission/allowance.h>
+#include <libcometspindle/gateway/admission/rate_limiter.h>
 
 #include <glib.h>
 #include <string.h>
@@ -64,21 +64,21 @@
 	GHashTable *charged; /* as keeper: VM -> uint64_t, charged and not told by it yet */
 };
 
-struct comet_allowance
+struct comet_rate_limiter
 {
-	struct comet_allowance_bounds bounds;
+	struct comet_rate_limiter_config bounds;
 	GHashTable *accounts; /* team id -> struct account */
 	uint64_t began_us;
-	uint32_t heard_vms;
+	uint32_t peak_alive_vms;
 	uint32_t known_vms;
 	uint64_t since_us; /* the first of those that are not heard was heard last then; 0: all are
 			    */
 };
 
 static int
-allowance_destroy(struct comet_allowance *allowance)
+allowance_destroy(struct comet_rate_limiter *rate_limiter)
 {
-	g_hash_table_destroy(allowance->accounts);
+	g_hash_table_destroy(rate_limiter->accounts);
 	return 0;
 }
 
@@ -91,37 +91,38 @@
 	g_free(account);
 }
 
-struct comet_allowance *
-comet_allowance_create(void *parent, const struct comet_allowance_bounds *bounds, uint64_t now_us)
+struct comet_rate_limiter *
+comet_rate_limiter_create(
+	void *parent, const struct comet_rate_limiter_config *bounds, uint64_t now_us)
 {
-	struct comet_allowance *allowance = talloc_zero(parent, struct comet_allowance);
+	struct comet_rate_limiter *rate_limiter = talloc_zero(parent, struct comet_rate_limiter);
 
-	allowance->bounds = *bounds;
-	allowance->heard_vms = 1;
-	allowance->known_vms = 1;
-	allowance->began_us = now_us;
-	allowance->accounts = g_hash_table_new_full(NULL, NULL, NULL, free_account);
-	talloc_set_destructor(allowance, allowance_destroy);
-	return allowance;
+	rate_limiter->bounds = *bounds;
+	rate_limiter->peak_alive_vms = 1;
+	rate_limiter->known_vms = 1;
+	rate_limiter->began_us = now_us;
+	rate_limiter->accounts = g_hash_table_new_full(NULL, NULL, NULL, free_account);
+	talloc_set_destructor(rate_limiter, allowance_destroy);
+	return rate_limiter;
 }
 
 static struct account *
-find(const struct comet_allowance *allowance, uint32_t team_id)
+find(const struct comet_rate_limiter *rate_limiter, uint32_t team_id)
 {
-	return g_hash_table_lookup(allowance->accounts, GUINT_TO_POINTER(team_id));
+	return g_hash_table_lookup(rate_limiter->accounts, GUINT_TO_POINTER(team_id));
 }
 
 static uint64_t
-part_us(const struct comet_allowance *allowance)
+part_us(const struct comet_rate_limiter *rate_limiter)
 {
-	return (uint64_t)allowance->bounds.window_ms * 1000 / SPAN_PARTS;
+	return (uint64_t)rate_limiter->bounds.window_ms * 1000 / SPAN_PARTS;
 }
 
 /* Forgets the parts that have left the span. */
 static void
-advance(const struct comet_allowance *allowance, struct account *account, uint64_t now_us)
+advance(const struct comet_rate_limiter *rate_limiter, struct account *account, uint64_t now_us)
 {
-	uint64_t part = now_us / part_us(allowance);
+	uint64_t part = now_us / part_us(rate_limiter);
 
 	if (part <= account->part)
 		return;
@@ -143,12 +144,12 @@
 
 /* A team's account as of now, or NULL for a team that is not listed. */
 static struct account *
-account_now(const struct comet_allowance *allowance, uint32_t team_id, uint64_t now_us)
+account_now(const struct comet_rate_limiter *rate_limiter, uint32_t team_id, uint64_t now_us)
 {
-	struct account *account = find(allowance, team_id);
+	struct account *account = find(rate_limiter, team_id);
 
 	if (account != NULL)
-		advance(allowance, account, now_us);
+		advance(rate_limiter, account, now_us);
 	return account;
 }
 
@@ -164,18 +165,18 @@
 
 /* Parts of the current span that lie before this process began. */
 static uint64_t
-parts_before(const struct comet_allowance *allowance, const struct account *account)
+parts_before(const struct comet_rate_limiter *rate_limiter, const struct account *account)
 {
-	uint64_t passed = account->part - allowance->began_us / part_us(allowance);
+	uint64_t passed = account->part - rate_limiter->began_us / part_us(rate_limiter);
 
 	return passed >= PARTS ? 0 : PARTS - passed;
 }
 
 /* Spreads an amount over the parts before this process began. */
 static void
-assume(const struct comet_allowance *allowance, struct account *account, double amount)
+assume(const struct comet_rate_limiter *rate_limiter, struct account *account, double amount)
 {
-	uint64_t parts = parts_before(allowance, account);
+	uint64_t parts = parts_before(rate_limiter, account);
 
 	memset(account->assumed, 0, sizeof account->assumed);
 	for (uint64_t i = 0; i < parts; i++)
@@ -187,7 +188,7 @@
 
 struct set_teams
 {
-	struct comet_allowance *allowance;
+	struct comet_rate_limiter *rate_limiter;
 	uint64_t now_us;
 };
 
@@ -208,9 +209,9 @@
 set_team(void *ctx, const struct comet_route_team *team)
 {
 	struct set_teams *set = ctx;
-	struct comet_allowance *allowance = set->allowance;
-	const struct comet_allowance_bounds *bounds = &allowance->bounds;
-	struct account *account = find(allowance, team->id);
+	struct comet_rate_limiter *rate_limiter = set->rate_limiter;
+	const struct comet_rate_limiter_config *bounds = &rate_limiter->bounds;
+	struct account *account = find(rate_limiter, team->id);
 	double limit = (double)team->rate_per_s * bounds->window_ms / 1000 + (double)team->burst;
 	/* The slack is told in tokens; for requests only the overage counts. */
 	double excess = bounds->overage * limit + (team->in_tokens ? bounds->slack : 0);
@@ -219,41 +220,41 @@
 	if (is_new)
 	{
 		account = g_new0(struct account, 1);
-		account->part = set->now_us / part_us(allowance);
+		account->part = set->now_us / part_us(rate_limiter);
 		account->charged = g_hash_table_new_full(NULL, NULL, NULL, g_free);
-		g_hash_table_insert(allowance->accounts, GUINT_TO_POINTER(team->id), account);
+		g_hash_table_insert(rate_limiter->accounts, GUINT_TO_POINTER(team->id), account);
 	}
 	double before = account->limit;
 	account->limit = team->rate_per_s > 0 ? limit + EXCESS_PART * excess : 0;
 	if (account->limit > 0 && account->limit < before)
 		scale_past(account, account->limit / before);
 	if (is_new)
-		assume(allowance, account, ASSUMED_PART * account->limit);
+		assume(rate_limiter, account, ASSUMED_PART * account->limit);
 }
 
 void
-comet_allowance_set_teams(
-	struct comet_allowance *allowance, const struct comet_route_table *table, uint64_t now_us)
+comet_rate_limiter_set_teams(struct comet_rate_limiter *rate_limiter,
+	const struct comet_route_table *table, uint64_t now_us)
 {
-	struct set_teams set = {allowance, now_us};
+	struct set_teams set = {rate_limiter, now_us};
 
 	comet_route_table_each_team(table, set_team, &set);
 }
 
 void
-comet_allowance_set_vms(
-	struct comet_allowance *allowance, uint32_t heard, uint32_t known, uint64_t since_us)
+comet_rate_limiter_set_vms(
+	struct comet_rate_limiter *rate_limiter, uint32_t heard, uint32_t known, uint64_t since_us)
 {
-	allowance->heard_vms = heard;
-	allowance->known_vms = MAX(known, 1);
-	allowance->since_us = since_us;
+	rate_limiter->peak_alive_vms = heard;
+	rate_limiter->known_vms = MAX(known, 1);
+	rate_limiter->since_us = since_us;
 }
 
 /* The part of what is left that belongs to the VMs that we hear. */
 static double
-heard_part(const struct comet_allowance *allowance)
+heard_part(const struct comet_rate_limiter *rate_limiter)
 {
-	return (double)allowance->heard_vms / allowance->known_vms;
+	return (double)rate_limiter->peak_alive_vms / rate_limiter->known_vms;
 }
 
 /* What is spent in the current span, as far as we know. */
@@ -265,10 +266,10 @@
 
 /* What of it was spent while all VMs were heard: both sides of a cut know of it. */
 static double
-spent_together(const struct comet_allowance *allowance, const struct account *account)
+spent_together(const struct comet_rate_limiter *rate_limiter, const struct account *account)
 {
 	uint64_t first = account->part - MIN(account->part, SPAN_PARTS);
-	uint64_t cut = allowance->since_us / part_us(allowance);
+	uint64_t cut = rate_limiter->since_us / part_us(rate_limiter);
 	double sum = 0;
 
 	for (uint64_t part = first; part <= account->part; part++)
@@ -282,25 +283,25 @@
 /* What may still be spent: of what was left when some VMs were last heard, the part of the others,
  * less what these have spent since. */
 static double
-left_of(const struct comet_allowance *allowance, const struct account *account,
-	enum comet_allowance_sight sight)
+left_of(const struct comet_rate_limiter *rate_limiter, const struct account *account,
+	enum comet_rate_limiter_source sight)
 {
-	double part = heard_part(allowance);
+	double part = heard_part(rate_limiter);
 	double left = part * account->limit - spent_of(account);
 
 	if (part < 1)
-		left += (1 - part) * spent_together(allowance, account);
-	if (sight == COMET_ALLOWANCE_BY_VIEWS)
-		left -= account->untold * (allowance->heard_vms - 1);
+		left += (1 - part) * spent_together(rate_limiter, account);
+	if (sight == COMET_RATE_LIMITER_GOSSIP)
+		left -= account->untold * (rate_limiter->peak_alive_vms - 1);
 	return left;
 }
 
 /* How long until needed is free again, as the parts of the span go by. */
 static uint32_t
-wait_ms_for(const struct comet_allowance *allowance, const struct account *account,
-	enum comet_allowance_sight sight, double needed)
+wait_ms_for(const struct comet_rate_limiter *rate_limiter, const struct account *account,
+	enum comet_rate_limiter_source sight, double needed)
 {
-	double left = left_of(allowance, account, sight);
+	double left = left_of(rate_limiter, account, sight);
 	uint64_t parts = 0;
 
 	for (; parts < PARTS && left < needed; parts++)
@@ -308,7 +309,7 @@
 		uint64_t part = account->part + 1 + parts;
 		left += account->counted[part % PARTS] + account->assumed[part % PARTS];
 	}
-	uint64_t ms = parts * part_us(allowance) / 1000;
+	uint64_t ms = parts * part_us(rate_limiter) / 1000;
 	return (uint32_t)MAX(ms, RETRY_AFTER_MIN_MS);
 }
 
@@ -330,24 +331,25 @@
 /* What a request leaves to more urgent ones. What is only assumed to be spent counts as left to
  * them, or after a start nothing else would be served while the assumption lasts. */
 static double
-reserve_of(const struct comet_allowance *allowance, const struct account *account, uint32_t rank,
-	double amount)
+reserve_of(const struct comet_rate_limiter *rate_limiter, const struct account *account,
+	uint32_t rank, double amount)
 {
 	double size = account->usual > 0 ? MIN(amount / account->usual, 1.0) : 1.0;
 	double part = RESERVE_PART * MIN(rank, RESERVING_RANKS) * size;
 
-	part *= heard_part(allowance);
+	part *= heard_part(rate_limiter);
 	return MAX(part * account->limit - sum_of(account->assumed), 0);
 }
 
 /* Is it the only request in a span of a VM that hears nobody, for a team that was far from its
  * limit? */
 static bool
-is_single(const struct comet_allowance *allowance, const struct account *account, double amount)
+is_single(
+	const struct comet_rate_limiter *rate_limiter, const struct account *account, double amount)
 {
 	double most = MAX(account->usual, 1);
 
-	return allowance->heard_vms == 1 && allowance->known_vms > 1 &&
+	return rate_limiter->peak_alive_vms == 1 && rate_limiter->known_vms > 1 &&
 	       sum_of(account->own) + MIN(amount, most) <= most &&
 	       spent_of(account) <= QUIET_PART * account->limit;
 }
@@ -366,39 +368,39 @@
 
 /* @return 0 if the team may spend amount, or after how many ms it is worth asking again */
 static uint32_t
-decide(const struct comet_allowance *allowance, const struct account *account, uint32_t rank,
-	uint64_t amount, enum comet_allowance_sight sight)
+decide(const struct comet_rate_limiter *rate_limiter, const struct account *account, uint32_t rank,
+	uint64_t amount, enum comet_rate_limiter_source sight)
 {
 	if (account->limit <= 0)
 		return 0;
 	/* A request larger than the limit goes out of an untouched one. */
-	double needed = (double)amount + reserve_of(allowance, account, rank, (double)amount);
-	needed = MIN(needed, heard_part(allowance) * account->limit);
-	if (left_of(allowance, account, sight) >= needed ||
-		is_single(allowance, account, (double)amount))
+	double needed = (double)amount + reserve_of(rate_limiter, account, rank, (double)amount);
+	needed = MIN(needed, heard_part(rate_limiter) * account->limit);
+	if (left_of(rate_limiter, account, sight) >= needed ||
+		is_single(rate_limiter, account, (double)amount))
 		return 0;
-	return wait_ms_for(allowance, account, sight, needed);
+	return wait_ms_for(rate_limiter, account, sight, needed);
 }
 
 uint32_t
-comet_allowance_spend(struct comet_allowance *allowance, uint32_t team_id, uint32_t rank,
-	uint64_t amount, enum comet_allowance_sight sight, uint64_t now_us)
+comet_rate_limiter_spend(struct comet_rate_limiter *rate_limiter, uint32_t team_id, uint32_t rank,
+	uint64_t amount, enum comet_rate_limiter_source sight, uint64_t now_us)
 {
-	struct account *account = account_now(allowance, team_id, now_us);
+	struct account *account = account_now(rate_limiter, team_id, now_us);
 
 	if (account == NULL)
 		return 0;
-	uint32_t wait_ms = decide(allowance, account, rank, amount, sight);
+	uint32_t wait_ms = decide(rate_limiter, account, rank, amount, sight);
 	if (wait_ms == 0)
 		count_own(account, amount, now_us);
 	return wait_ms;
 }
 
 void
-comet_allowance_charged(
-	struct comet_allowance *allowance, uint32_t team_id, uint64_t amount, uint64_t now_us)
+comet_rate_limiter_charged(
+	struct comet_rate_limiter *rate_limiter, uint32_t team_id, uint64_t amount, uint64_t now_us)
 {
-	struct account *account = account_now(allowance, team_id, now_us);
+	struct account *account = account_now(rate_limiter, team_id, now_us);
 
 	if (account != NULL)
 		count_own(account, amount, now_us);
@@ -419,14 +421,14 @@
 }
 
 bool
-comet_allowance_charge_for(struct comet_allowance *allowance, uint32_t vm, uint32_t team_id,
-	uint32_t rank, uint64_t amount, uint64_t now_us, uint32_t *wait_ms)
+comet_rate_limiter_charge_remote(struct comet_rate_limiter *rate_limiter, uint32_t vm,
+	uint32_t team_id, uint32_t rank, uint64_t amount, uint64_t now_us, uint32_t *wait_ms)
 {
-	struct account *account = account_now(allowance, team_id, now_us);
+	struct account *account = account_now(rate_limiter, team_id, now_us);
 
 	if (account == NULL)
 		return false;
-	*wait_ms = decide(allowance, account, rank, amount, COMET_ALLOWANCE_KEPT);
+	*wait_ms = decide(rate_limiter, account, rank, amount, COMET_RATE_LIMITER_OWNER);
 	if (*wait_ms != 0)
 		return true;
 	learn_usual(account, (double)amount);
@@ -447,10 +449,10 @@
 }
 
 void
-comet_allowance_returned_by(struct comet_allowance *allowance, uint32_t vm, uint32_t team_id,
-	uint64_t amount, uint64_t now_us)
+comet_rate_limiter_refund_remote(struct comet_rate_limiter *rate_limiter, uint32_t vm,
+	uint32_t team_id, uint64_t amount, uint64_t now_us)
 {
-	struct account *account = account_now(allowance, team_id, now_us);
+	struct account *account = account_now(rate_limiter, team_id, now_us);
 	uint64_t *charged = account != NULL ? charged_of(account, vm) : NULL;
 
 	if (charged == NULL || *charged < amount)
@@ -460,10 +462,10 @@
 }
 
 void
-comet_allowance_spent_elsewhere(struct comet_allowance *allowance, uint32_t vm, uint32_t team_id,
-	uint64_t amount, uint64_t now_us)
+comet_rate_limiter_merge_remote(struct comet_rate_limiter *rate_limiter, uint32_t vm,
+	uint32_t team_id, uint64_t amount, uint64_t now_us)
 {
-	struct account *account = account_now(allowance, team_id, now_us);
+	struct account *account = account_now(rate_limiter, team_id, now_us);
 
 	if (account == NULL)
 		return;
@@ -475,36 +477,36 @@
 }
 
 void
-comet_allowance_vm_restarted(struct comet_allowance *allowance, uint32_t vm)
+comet_rate_limiter_vm_restarted(struct comet_rate_limiter *rate_limiter, uint32_t vm)
 {
 	GHashTableIter at;
 	gpointer account = NULL;
 
-	g_hash_table_iter_init(&at, allowance->accounts);
+	g_hash_table_iter_init(&at, rate_limiter->accounts);
 	while (g_hash_table_iter_next(&at, NULL, &account))
 		g_hash_table_remove(((struct account *)account)->charged, GUINT_TO_POINTER(vm));
 }
 
 void
-comet_allowance_told_recent(
-	struct comet_allowance *allowance, uint32_t team_id, uint64_t recent, uint64_t now_us)
+comet_rate_limiter_merge_total(
+	struct comet_rate_limiter *rate_limiter, uint32_t team_id, uint64_t recent, uint64_t now_us)
 {
-	struct account *account = account_now(allowance, team_id, now_us);
+	struct account *account = account_now(rate_limiter, team_id, now_us);
 
 	if (account == NULL)
 		return;
-	if (account->told || parts_before(allowance, account) == 0)
+	if (account->told || parts_before(rate_limiter, account) == 0)
 		return;
 	account->told = true;
 	double before = (double)recent - sum_of(account->counted);
-	assume(allowance, account, MAX(before, 0));
+	assume(rate_limiter, account, MAX(before, 0));
 }
 
 void
-comet_allowance_give_back(
-	struct comet_allowance *allowance, uint32_t team_id, uint64_t amount, uint64_t now_us)
+comet_rate_limiter_refund(
+	struct comet_rate_limiter *rate_limiter, uint32_t team_id, uint64_t amount, uint64_t now_us)
 {
-	struct account *account = account_now(allowance, team_id, now_us);
+	struct account *account = account_now(rate_limiter, team_id, now_us);
 
 	if (account == NULL)
 		return;
@@ -516,37 +518,37 @@
 }
 
 void
-comet_allowance_told(struct comet_allowance *allowance)
+comet_rate_limiter_mark_reported(struct comet_rate_limiter *rate_limiter)
 {
 	GHashTableIter at;
 	gpointer account = NULL;
 
-	g_hash_table_iter_init(&at, allowance->accounts);
+	g_hash_table_iter_init(&at, rate_limiter->accounts);
 	while (g_hash_table_iter_next(&at, NULL, &account))
 		((struct account *)account)->untold = 0;
 }
 
 void
-comet_allowance_each(struct comet_allowance *allowance, uint64_t now_us,
-	void (*visit)(void *ctx, const struct comet_allowance_report *report), void *ctx)
+comet_rate_limiter_each(struct comet_rate_limiter *rate_limiter, uint64_t now_us,
+	void (*visit)(void *ctx, const struct comet_rate_limiter_report *report), void *ctx)
 {
 	GHashTableIter at;
 	gpointer key = NULL;
 	gpointer value = NULL;
 
-	g_hash_table_iter_init(&at, allowance->accounts);
+	g_hash_table_iter_init(&at, rate_limiter->accounts);
 	while (g_hash_table_iter_next(&at, &key, &value))
 	{
 		struct account *account = value;
-		struct comet_allowance_report report = {
+		struct comet_rate_limiter_report report = {
 			.team_id = GPOINTER_TO_UINT(key),
 			.spent = account->spent,
 			.last_us = account->last_us,
 		};
-		advance(allowance, account, now_us);
+		advance(rate_limiter, account, now_us);
 		report.lately = (uint64_t)sum_of(account->own);
 		/* What we only guess is not to be passed on as knowledge. */
-		if (account->told || parts_before(allowance, account) == 0)
+		if (account->told || parts_before(rate_limiter, account) == 0)
 			report.recent =
 				(uint64_t)(sum_of(account->counted) + sum_of(account->assumed));
 		if (report.spent > 0 || report.recent > 0)
@@ -555,11 +557,12 @@
 }
 
 double
-comet_allowance_left(struct comet_allowance *allowance, uint32_t team_id, uint64_t now_us)
+comet_rate_limiter_remaining(
+	struct comet_rate_limiter *rate_limiter, uint32_t team_id, uint64_t now_us)
 {
-	struct account *account = account_now(allowance, team_id, now_us);
+	struct account *account = account_now(rate_limiter, team_id, now_us);
 
 	if (account == NULL)
 		return 0;
-	return left_of(allowance, account, COMET_ALLOWANCE_BY_VIEWS);
+	return left_of(rate_limiter, account, COMET_RATE_LIMITER_GOSSIP);
 }
--- a/libcometspindle/gateway/admission/allowance.h
+++ b/libcometspindle/gateway/admission/rate_limiter.h
@@ -1,5 +1,5 @@
 /*
- * allowance.h
+ * rate_limiter.h
  * what each team may still spend, summed over all VMs without shared state
  *
  * A limit holds over any span of a fixed length. One VM keeps each team's account and charges its
@@ -13,8 +13,8 @@
  * had spent little loses no more than the others' parts. A VM that starts asks the others what was
  * spent before; if nobody knows, it assumes that much of the limit is gone.
  */
-#ifndef COMETSPINDLE_GATEWAY_ALLOWANCE_H
-#define COMETSPINDLE_GATEWAY_ALLOWANCE_H
+#ifndef COMETSPINDLE_GATEWAY_RATE_LIMITER_H
+#define COMETSPINDLE_GATEWAY_RATE_LIMITER_H
 
 #include <glib.h>
 #include <libcometspindle/gateway/routing/routes.h>
@@ -22,36 +22,37 @@
 #include <stdint.h>
 
 /** How strictly limits are kept; from the settings. */
-struct comet_allowance_bounds
+struct comet_rate_limiter_config
 {
 	uint32_t window_ms; /**< the limit holds over any span of this length */
 	double overage;     /**< part of the limit that may be spent above it */
 	double slack;       /**< and so much more in all, in the limit's unit */
 };
 
-struct comet_allowance;
+struct comet_rate_limiter;
 
-struct comet_allowance *
-comet_allowance_create(void *parent, const struct comet_allowance_bounds *bounds, uint64_t now_us);
+struct comet_rate_limiter *
+comet_rate_limiter_create(
+	void *parent, const struct comet_rate_limiter_config *bounds, uint64_t now_us);
 
 /** Teams and limits as the document has them now. */
 void
-comet_allowance_set_teams(
-	struct comet_allowance *allowance, const struct comet_route_table *table, uint64_t now_us);
+comet_rate_limiter_set_teams(struct comet_rate_limiter *rate_limiter,
+	const struct comet_route_table *table, uint64_t now_us);
 
 /**
  * VMs that can be heard, and that are known; this one included in both. since_us: when the first
  * of those that are not heard now was heard last; 0 where all are.
  */
 void
-comet_allowance_set_vms(
-	struct comet_allowance *allowance, uint32_t heard, uint32_t known, uint64_t since_us);
+comet_rate_limiter_set_vms(
+	struct comet_rate_limiter *rate_limiter, uint32_t heard, uint32_t known, uint64_t since_us);
 
 /** How the spending of the other VMs is known. */
-enum comet_allowance_sight
+enum comet_rate_limiter_source
 {
-	COMET_ALLOWANCE_BY_VIEWS, /**< some seconds late */
-	COMET_ALLOWANCE_KEPT,     /**< at once: this VM keeps the account */
+	COMET_RATE_LIMITER_GOSSIP, /**< some seconds late */
+	COMET_RATE_LIMITER_OWNER,  /**< at once: this VM keeps the account */
 };
 
 /**
@@ -60,50 +61,50 @@
  * @return 0, or after how many ms it is worth asking again
  */
 uint32_t
-comet_allowance_spend(struct comet_allowance *allowance, uint32_t team_id, uint32_t rank,
-	uint64_t amount, enum comet_allowance_sight sight,
+comet_rate_limiter_spend(struct comet_rate_limiter *rate_limiter, uint32_t team_id, uint32_t rank,
+	uint64_t amount, enum comet_rate_limiter_source sight,
 	uint64_t now_us) G_GNUC_WARN_UNUSED_RESULT;
 
 /** The keeper of the account has charged amount to this VM's request. */
 void
-comet_allowance_charged(
-	struct comet_allowance *allowance, uint32_t team_id, uint64_t amount, uint64_t now_us);
+comet_rate_limiter_charged(struct comet_rate_limiter *rate_limiter, uint32_t team_id,
+	uint64_t amount, uint64_t now_us);
 
 /**
  * As keeper: charges a request of another VM.
  * @return false when the team's limit is not known here
  */
 bool
-comet_allowance_charge_for(struct comet_allowance *allowance, uint32_t vm, uint32_t team_id,
-	uint32_t rank, uint64_t amount, uint64_t now_us,
+comet_rate_limiter_charge_remote(struct comet_rate_limiter *rate_limiter, uint32_t vm,
+	uint32_t team_id, uint32_t rank, uint64_t amount, uint64_t now_us,
 	uint32_t *wait_ms) G_GNUC_WARN_UNUSED_RESULT;
 
 /** As keeper: a request that was charged to another VM has not run. */
 void
-comet_allowance_returned_by(struct comet_allowance *allowance, uint32_t vm, uint32_t team_id,
-	uint64_t amount, uint64_t now_us);
+comet_rate_limiter_refund_remote(struct comet_rate_limiter *rate_limiter, uint32_t vm,
+	uint32_t team_id, uint64_t amount, uint64_t now_us);
 
 /** Another VM tells that it has spent amount; what this VM charged it is not counted twice. */
 void
-comet_allowance_spent_elsewhere(struct comet_allowance *allowance, uint32_t vm, uint32_t team_id,
-	uint64_t amount, uint64_t now_us);
+comet_rate_limiter_merge_remote(struct comet_rate_limiter *rate_limiter, uint32_t vm,
+	uint32_t team_id, uint64_t amount, uint64_t now_us);
 
 /** The process of another VM has started again: what it was charged before will not be told. */
 void
-comet_allowance_vm_restarted(struct comet_allowance *allowance, uint32_t vm);
+comet_rate_limiter_vm_restarted(struct comet_rate_limiter *rate_limiter, uint32_t vm);
 
 /** Another VM tells what all VMs have spent in the last span. */
 void
-comet_allowance_told_recent(
-	struct comet_allowance *allowance, uint32_t team_id, uint64_t recent, uint64_t now_us);
+comet_rate_limiter_merge_total(struct comet_rate_limiter *rate_limiter, uint32_t team_id,
+	uint64_t recent, uint64_t now_us);
 
 /** Gives back what was spent on a request that never ran. */
 void
-comet_allowance_give_back(
-	struct comet_allowance *allowance, uint32_t team_id, uint64_t amount, uint64_t now_us);
+comet_rate_limiter_refund(struct comet_rate_limiter *rate_limiter, uint32_t team_id,
+	uint64_t amount, uint64_t now_us);
 
 /** What a VM tells of one team. */
-struct comet_allowance_report
+struct comet_rate_limiter_report
 {
 	uint32_t team_id;
 	uint64_t spent;   /**< by this VM since its start */
@@ -114,15 +115,16 @@
 
 /** All VMs have been told what this one has spent until now. */
 void
-comet_allowance_told(struct comet_allowance *allowance);
+comet_rate_limiter_mark_reported(struct comet_rate_limiter *rate_limiter);
 
 /** Calls visit for each team of which there is something to tell. */
 void
-comet_allowance_each(struct comet_allowance *allowance, uint64_t now_us,
-	void (*visit)(void *ctx, const struct comet_allowance_report *report), void *ctx);
+comet_rate_limiter_each(struct comet_rate_limiter *rate_limiter, uint64_t now_us,
+	void (*visit)(void *ctx, const struct comet_rate_limiter_report *report), void *ctx);
 
 /** What the team may spend just now; for metrics and logs. */
 double
-comet_allowance_left(struct comet_allowance *allowance, uint32_t team_id, uint64_t now_us);
+comet_rate_limiter_remaining(
+	struct comet_rate_limiter *rate_limiter, uint32_t team_id, uint64_t now_us);
 
 #endif
--- a/libcometspindle/gateway/admission/retry_budget.c
+++ b/libcometspindle/gateway/admission/retry_budget.c
@@ -18,7 +18,7 @@
 
 struct comet_retry_budget
 {
-	struct comet_retry_bounds bounds;
+	struct comet_retry_budget_config bounds;
 	GHashTable *buckets; /* service -> struct bucket */
 	uint32_t vms;
 };
@@ -31,7 +31,7 @@
 }
 
 struct comet_retry_budget *
-comet_retry_budget_create(void *parent, const struct comet_retry_bounds *bounds)
+comet_retry_budget_create(void *parent, const struct comet_retry_budget_config *bounds)
 {
 	struct comet_retry_budget *budget = talloc_zero(parent, struct comet_retry_budget);
 
@@ -95,7 +95,8 @@
 }
 
 double
-comet_retry_budget_left(struct comet_retry_budget *budget, const char *service, uint64_t now_us)
+comet_retry_budget_remaining(
+	struct comet_retry_budget *budget, const char *service, uint64_t now_us)
 {
 	return filled(budget, service, now_us)->level;
 }
--- a/libcometspindle/gateway/admission/retry_budget.h
+++ b/libcometspindle/gateway/admission/retry_budget.h
@@ -13,7 +13,7 @@
 #include <stdint.h>
 
 /** The bound over all VMs; from the settings. */
-struct comet_retry_bounds
+struct comet_retry_budget_config
 {
 	double ratio;       /**< repeats per first sending */
 	uint32_t window_ms; /**< over any span of this length */
@@ -23,7 +23,7 @@
 struct comet_retry_budget;
 
 struct comet_retry_budget *
-comet_retry_budget_create(void *parent, const struct comet_retry_bounds *bounds);
+comet_retry_budget_create(void *parent, const struct comet_retry_budget_config *bounds);
 
 /** VMs that share the bound, this one included. */
 void
@@ -40,6 +40,7 @@
 
 /** Repeats that this VM may send at once. */
 double
-comet_retry_budget_left(struct comet_retry_budget *budget, const char *service, uint64_t now_us);
+comet_retry_budget_remaining(
+	struct comet_retry_budget *budget, const char *service, uint64_t now_us);
 
 #endif
--- a/libcometspindle/gateway/directory.h
+++ b/libcometspindle/gateway/directory.h
@@ -21,18 +21,18 @@
  * revisions out again, in the next era.
  */
 #define COMET_DIRECTORY_REVISION_BITS 44 /* 400 writes a second for 1,300 years */
-#define COMET_DIRECTORY_ERA_MAX ((1U << 19) - 1)
+#define COMET_DIRECTORY_EPOCH_MAX ((1U << 19) - 1)
 
 static inline uint64_t
-comet_directory_position(uint64_t era, uint64_t revision)
+comet_directory_position(uint64_t epoch, uint64_t revision)
 {
 	const uint64_t most = (1ULL << COMET_DIRECTORY_REVISION_BITS) - 1;
 
-	return (era << COMET_DIRECTORY_REVISION_BITS) | (revision < most ? revision : most);
+	return (epoch << COMET_DIRECTORY_REVISION_BITS) | (revision < most ? revision : most);
 }
 
 static inline uint64_t
-comet_directory_era(uint64_t position)
+comet_directory_epoch(uint64_t position)
 {
 	return position >> COMET_DIRECTORY_REVISION_BITS;
 }
@@ -44,7 +44,7 @@
 }
 
 /** Something in the directory that could not be read. */
-struct comet_directory_refusal
+struct comet_directory_invalid_item
 {
 	const char *key;   /**< where it stands, as the directory names it */
 	uint64_t revision; /**< of its last change */
@@ -56,10 +56,10 @@
 /** What a call to the directory was, by its end. */
 enum comet_directory_call
 {
-	COMET_DIRECTORY_CALL_PAGE,    /**< of a list: at a start, or after a loss of history */
-	COMET_DIRECTORY_CALL_NEWS,    /**< a wait that something new ended */
-	COMET_DIRECTORY_CALL_NO_NEWS, /**< a wait that ended without */
-	COMET_DIRECTORY_CALL_FAILED,  /**< refused, or not answered */
+	COMET_DIRECTORY_CALL_PAGE,       /**< of a list: at a start, or after a loss of history */
+	COMET_DIRECTORY_CALL_CHANGES,    /**< a wait that something new ended */
+	COMET_DIRECTORY_CALL_NO_CHANGES, /**< a wait that ended without */
+	COMET_DIRECTORY_CALL_FAILED,     /**< refused, or not answered */
 };
 
 #define COMET_DIRECTORY_CALLS (COMET_DIRECTORY_CALL_FAILED + 1)
@@ -71,20 +71,20 @@
 	void (*routes)(void *ctx, struct comet_route_table *table, uint64_t lag_us);
 	/** An endpoint's process is there, or changed. */
 	void (*instance)(void *ctx, const struct comet_instance_record *record);
-	/** It is listed no more. out_us: the directory was out and it may come back; when it was
+	/** It is listed no more. outage_us: the directory was out and it may come back; when it was
 	 * last known to be out, though not how much longer. 0: it is gone. */
-	void (*instance_gone)(void *ctx, const char *id, uint64_t out_us);
+	void (*instance_gone)(void *ctx, const char *id, uint64_t outage_us);
 	/** The endpoints of an availability zone are to get no new work. */
 	void (*evacuated)(void *ctx, const char *zone);
 	/** That order has ended. doubtful: it is missing in an earlier copy from which the
 	 * directory has come back, and may be written again. */
-	void (*restored)(void *ctx, const char *zone, bool doubtful);
+	void (*restored)(void *ctx, const char *zone, bool tentative);
 	/** An item that cannot be read was published; the others hold. */
-	void (*refused)(void *ctx, const struct comet_directory_refusal *refusal);
+	void (*refused)(void *ctx, const struct comet_directory_invalid_item *refusal);
 	/** Everything up to a position has been reported, and endpoints up to another one. */
 	void (*revision)(void *ctx, uint64_t position, uint64_t endpoints);
 	/** Another history of the directory is read from now on. */
-	void (*era)(void *ctx, uint64_t era, uint64_t before);
+	void (*epoch)(void *ctx, uint64_t epoch, uint64_t before);
 	/** A call has ended; told each time. */
 	void (*called)(void *ctx, enum comet_directory_call call);
 	/** It has answered a call; told each time. */
@@ -94,12 +94,12 @@
 };
 
 /** Whether a VM reads the directory itself. */
-enum comet_directory_reading
+enum comet_directory_mode
 {
-	COMET_DIRECTORY_READS,            /**< for itself */
-	COMET_DIRECTORY_READS_FOR_OTHERS, /**< and tells other VMs at once */
-	COMET_DIRECTORY_FOLLOWS,          /**< others tell it */
-	COMET_DIRECTORY_READS_MEANWHILE,  /**< for itself, until others tell it again */
+	COMET_DIRECTORY_MODE_DIRECT,   /**< for itself */
+	COMET_DIRECTORY_MODE_READER,   /**< and tells other VMs at once */
+	COMET_DIRECTORY_MODE_FOLLOWER, /**< others tell it */
+	COMET_DIRECTORY_MODE_FALLBACK, /**< for itself, until others tell it again */
 };
 
 struct comet_directory;
@@ -116,8 +116,7 @@
 	/** @return whether an answer is arriving. */
 	bool (*is_arriving)(const struct comet_directory *directory);
 	/** Reads from now on in another way. */
-	void (*set_reading)(
-		struct comet_directory *directory, enum comet_directory_reading reading);
+	void (*set_mode)(struct comet_directory *directory, enum comet_directory_mode reading);
 	/** What it knows is that of a VM which the directory answers. */
 	void (*followed)(struct comet_directory *directory);
 	/** Writes all changes after a position for a peer. @return NULL if they are not known: a
--- a/libcometspindle/gateway/endpoints/evacuations.c
+++ b/libcometspindle/gateway/endpoints/evacuations.c
@@ -72,7 +72,8 @@
 }
 
 void
-comet_evacuations_doubt(struct comet_evacuations *evacuations, const char *zone, uint64_t until_us)
+comet_evacuations_schedule_expiry(
+	struct comet_evacuations *evacuations, const char *zone, uint64_t until_us)
 {
 	struct order *order = g_hash_table_lookup(evacuations->orders, zone);
 
--- a/libcometspindle/gateway/endpoints/evacuations.h
+++ b/libcometspindle/gateway/endpoints/evacuations.h
@@ -30,7 +30,8 @@
 
 /** The order may have ended: it holds until that time, unless it is given again. */
 void
-comet_evacuations_doubt(struct comet_evacuations *evacuations, const char *zone, uint64_t until_us);
+comet_evacuations_schedule_expiry(
+	struct comet_evacuations *evacuations, const char *zone, uint64_t until_us);
 
 /** Ends the orders that were doubted for long enough. */
 void
--- a/libcometspindle/gateway/endpoints/lives.c
+++ b/libcometspindle/gateway/endpoints/incarnations.c
@@ -1,8 +1,8 @@
 /*
- * lives.c
+ * incarnations.c
  * which life of each endpoint's process is the latest, by what the directory has told
  */
-#include <libcometspindle/gateway/endpoints/lives.h>
+#include <libcometspindle/gateway/endpoints/incarnations.h>
 
 #include <glib.h>
 #include <talloc.h>
@@ -15,14 +15,14 @@
 /* What was told under one id. */
 struct told
 {
-	uint64_t born_ms; /* latest; 0: none was told */
+	uint64_t process_start_ms; /* latest; 0: none was told */
 	struct comet_instance_record
 		*earlier;    /* word of an earlier life that came since, or NULL */
 	uint64_t earlier_us; /* when it came */
 	bool lapsed;         /* it is listed no more, but used on */
 };
 
-struct comet_lives
+struct comet_incarnations
 {
 	GHashTable *by_id; /* id -> struct told */
 };
@@ -37,16 +37,16 @@
 }
 
 static int
-lives_destroy(struct comet_lives *lives)
+lives_destroy(struct comet_incarnations *lives)
 {
 	g_hash_table_destroy(lives->by_id);
 	return 0;
 }
 
-struct comet_lives *
-comet_lives_create(void *parent)
+struct comet_incarnations *
+comet_incarnations_create(void *parent)
 {
-	struct comet_lives *lives = talloc_zero(parent, struct comet_lives);
+	struct comet_incarnations *lives = talloc_zero(parent, struct comet_incarnations);
 
 	lives->by_id = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_told);
 	talloc_set_destructor(lives, lives_destroy);
@@ -54,7 +54,7 @@
 }
 
 static struct told *
-told_of(struct comet_lives *lives, const char *id)
+told_of(struct comet_incarnations *lives, const char *id)
 {
 	struct told *told = g_hash_table_lookup(lives->by_id, id);
 
@@ -79,33 +79,33 @@
 	told->earlier_us = now_us;
 }
 
-enum comet_life
-comet_lives_tell(
-	struct comet_lives *lives, const struct comet_instance_record *record, uint64_t now_us)
+enum comet_incarnation_order
+comet_incarnations_observe(struct comet_incarnations *lives,
+	const struct comet_instance_record *record, uint64_t now_us)
 {
 	struct told *told = told_of(lives, record->id);
 
 	told->lapsed = false;
-	if (record->born_ms == 0 && told->born_ms != 0)
-		return COMET_LIFE_UNTOLD;
-	if (record->born_ms < told->born_ms)
+	if (record->process_start_ms == 0 && told->process_start_ms != 0)
+		return COMET_INCARNATION_UNSPECIFIED;
+	if (record->process_start_ms < told->process_start_ms)
 	{
 		keep_earlier(told, record, now_us);
-		return COMET_LIFE_EARLIER;
+		return COMET_INCARNATION_EARLIER;
 	}
-	told->born_ms = record->born_ms;
+	told->process_start_ms = record->process_start_ms;
 	TALLOC_FREE(told->earlier);
-	return COMET_LIFE_LATEST;
+	return COMET_INCARNATION_LATEST;
 }
 
 void
-comet_lives_forget(struct comet_lives *lives, const char *id)
+comet_incarnations_forget(struct comet_incarnations *lives, const char *id)
 {
 	g_hash_table_remove(lives->by_id, id);
 }
 
 void
-comet_lives_lapse(struct comet_lives *lives, const char *id)
+comet_incarnations_schedule_expiry(struct comet_incarnations *lives, const char *id)
 {
 	struct told *told = told_of(lives, id);
 
@@ -114,7 +114,7 @@
 }
 
 void
-comet_lives_forget_lapsed(struct comet_lives *lives, const char *id)
+comet_incarnations_expire(struct comet_incarnations *lives, const char *id)
 {
 	const struct told *told = g_hash_table_lookup(lives->by_id, id);
 
@@ -123,7 +123,7 @@
 }
 
 void
-comet_lives_tick(struct comet_lives *lives, uint64_t now_us,
+comet_incarnations_tick(struct comet_incarnations *lives, uint64_t now_us,
 	void (*believed)(void *ctx, const struct comet_instance_record *record), void *ctx)
 {
 	GHashTableIter at;
@@ -137,16 +137,16 @@
 			continue;
 		struct comet_instance_record *record = told->earlier;
 		told->earlier = NULL;
-		told->born_ms = record->born_ms;
+		told->process_start_ms = record->process_start_ms;
 		believed(ctx, record);
 		talloc_free(record);
 	}
 }
 
 uint64_t
-comet_lives_born_ms(const struct comet_lives *lives, const char *id)
+comet_incarnations_start_ms(const struct comet_incarnations *lives, const char *id)
 {
 	const struct told *told = g_hash_table_lookup(lives->by_id, id);
 
-	return told != NULL ? told->born_ms : 0;
+	return told != NULL ? told->process_start_ms : 0;
 }
--- a/libcometspindle/gateway/endpoints/instances.c
+++ b/libcometspindle/gateway/endpoints/instances.c
@@ -4,7 +4,7 @@
  */
 #include <libcometspindle/gateway/endpoints/instances.h>
 
-#include <libcometspindle/gateway/endpoints/speeds.h>
+#include <libcometspindle/gateway/endpoints/latency_model.h>
 #include <libcometspindle/hash.h>
 #include <string.h>
 #include <talloc.h>
@@ -17,12 +17,12 @@
 struct comet_instances
 {
 	char *own_zone;
-	GHashTable *by_id;     /* id -> comet_instance */
-	GHashTable *by_key;    /* key -> comet_instance */
-	GHashTable *services;  /* service -> GPtrArray of comet_instance */
-	GHashTable *speeds;    /* service -> struct comet_speeds */
-	GHashTable *starts;    /* service -> struct comet_slow_start_bounds */
-	GHashTable *evacuated; /* zones, as a set */
+	GHashTable *by_id;         /* id -> comet_instance */
+	GHashTable *by_key;        /* key -> comet_instance */
+	GHashTable *services;      /* service -> GPtrArray of comet_instance */
+	GHashTable *latency_model; /* service -> struct comet_latency_model */
+	GHashTable *starts;        /* service -> struct comet_slow_start_config */
+	GHashTable *evacuated;     /* zones, as a set */
 	uint64_t changes;
 };
 
@@ -38,7 +38,7 @@
 	g_hash_table_destroy(instances->by_id);
 	g_hash_table_destroy(instances->by_key);
 	g_hash_table_destroy(instances->services);
-	g_hash_table_destroy(instances->speeds);
+	g_hash_table_destroy(instances->latency_model);
 	g_hash_table_destroy(instances->starts);
 	g_hash_table_destroy(instances->evacuated);
 	return 0;
@@ -53,35 +53,36 @@
 	instances->by_id = g_hash_table_new(g_str_hash, g_str_equal);
 	instances->by_key = g_hash_table_new(NULL, NULL);
 	instances->services = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_array);
-	instances->speeds = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	instances->latency_model = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	instances->starts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	instances->evacuated = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	talloc_set_destructor(instances, instances_destroy);
 	return instances;
 }
 
-static struct comet_speeds *
+static struct comet_latency_model *
 speeds_of(struct comet_instances *instances, const char *service)
 {
-	struct comet_speeds *speeds = g_hash_table_lookup(instances->speeds, service);
+	struct comet_latency_model *latency_model =
+		g_hash_table_lookup(instances->latency_model, service);
 
-	if (speeds == NULL)
+	if (latency_model == NULL)
 	{
-		speeds = comet_speeds_create(instances);
-		g_hash_table_insert(instances->speeds, g_strdup(service), speeds);
+		latency_model = comet_latency_model_create(instances);
+		g_hash_table_insert(instances->latency_model, g_strdup(service), latency_model);
 	}
-	return speeds;
+	return latency_model;
 }
 
 /* The bounds of a service; they stay where they are, since instances point there. */
-static struct comet_slow_start_bounds *
+static struct comet_slow_start_config *
 start_bounds_of(struct comet_instances *instances, const char *service)
 {
-	struct comet_slow_start_bounds *bounds = g_hash_table_lookup(instances->starts, service);
+	struct comet_slow_start_config *bounds = g_hash_table_lookup(instances->starts, service);
 
 	if (bounds == NULL)
 	{
-		bounds = g_new0(struct comet_slow_start_bounds, 1);
+		bounds = g_new0(struct comet_slow_start_config, 1);
 		g_hash_table_insert(instances->starts, g_strdup(service), bounds);
 	}
 	return bounds;
@@ -89,7 +90,7 @@
 
 void
 comet_instances_set_slow_start(struct comet_instances *instances, const char *service,
-	const struct comet_slow_start_bounds *bounds)
+	const struct comet_slow_start_config *bounds)
 {
 	*start_bounds_of(instances, service) = *bounds;
 }
@@ -100,11 +101,11 @@
 	struct comet_instance *instance = talloc_zero(instances, struct comet_instance);
 
 	instance->id = talloc_strdup(instance, record->id);
-	instance->born_ms = record->born_ms;
-	instance->key = comet_instance_key(record->id, record->born_ms);
+	instance->process_start_ms = record->process_start_ms;
+	instance->key = comet_instance_key(record->id, record->process_start_ms);
 	instance->place = comet_hash_name(record->id);
 	instance->service = talloc_strdup(instance, record->service);
-	instance->speeds = speeds_of(instances, record->service);
+	instance->latency_model = speeds_of(instances, record->service);
 	instance->start_bounds = start_bounds_of(instances, record->service);
 	instance->pace = 1.0;
 	instances->changes++;
@@ -137,7 +138,7 @@
 {
 	struct comet_instance *instance = comet_instances_find(instances, record->id);
 
-	if (instance != NULL && (instance->born_ms != record->born_ms ||
+	if (instance != NULL && (instance->process_start_ms != record->process_start_ms ||
 					strcmp(instance->service, record->service) != 0))
 	{
 		comet_instances_remove(instances, record->id);
@@ -153,13 +154,13 @@
 	instance->slots = record->slots > 0 ? record->slots : 1;
 	instance->draining = record->draining;
 	instance->evacuated = g_hash_table_contains(instances->evacuated, instance->zone);
-	instance->warm_us =
+	instance->warm_until_us =
 		record->warm_up_ms > 0 ? now_us + (uint64_t)record->warm_up_ms * 1000 : 0;
 	if (!instance->listed)
 		comet_instance_may_be_cold(instance, now_us);
-	comet_slow_start_told(&instance->start, instance->warm_us);
+	comet_slow_start_set_until(&instance->start, instance->warm_until_us);
 	instance->listed = true;
-	instance->lapse_us = 0;
+	instance->expire_us = 0;
 	return instance;
 }
 
@@ -167,16 +168,17 @@
 static void
 forget_if_unused(struct comet_instances *instances, const char *service)
 {
-	struct comet_speeds *speeds = g_hash_table_lookup(instances->speeds, service);
+	struct comet_latency_model *latency_model =
+		g_hash_table_lookup(instances->latency_model, service);
 
-	if (comet_instances_of(instances, service) != NULL)
+	if (comet_instances_for_service(instances, service) != NULL)
 		return;
-	if (speeds != NULL && !comet_speeds_learned(speeds))
+	if (latency_model != NULL && !comet_latency_model_learned(latency_model))
 	{
-		g_hash_table_remove(instances->speeds, service);
-		talloc_free(speeds);
+		g_hash_table_remove(instances->latency_model, service);
+		talloc_free(latency_model);
 	}
-	const struct comet_slow_start_bounds *bounds =
+	const struct comet_slow_start_config *bounds =
 		g_hash_table_lookup(instances->starts, service);
 	if (bounds != NULL && bounds->cold_us == 0)
 		g_hash_table_remove(instances->starts, service);
@@ -237,7 +239,7 @@
 bool
 comet_instances_all_evacuated(struct comet_instances *instances, const char *service)
 {
-	const GPtrArray *all = comet_instances_of(instances, service);
+	const GPtrArray *all = comet_instances_for_service(instances, service);
 	bool any = false;
 
 	for (guint i = 0; all != NULL && i < all->len; i++)
@@ -253,17 +255,18 @@
 }
 
 bool
-comet_instances_lapse(struct comet_instances *instances, const char *id, uint64_t out_us,
-	const struct comet_lapse_bounds *bounds, uint64_t now_us)
+comet_instances_schedule_expiry(struct comet_instances *instances, const char *id,
+	uint64_t outage_us, const struct comet_expiry_config *bounds, uint64_t now_us)
 {
 	struct comet_instance *instance = comet_instances_find(instances, id);
-	uint64_t last_us = out_us + bounds->settled_us - MIN(bounds->settled_us, SETTLED_MARGIN_US);
+	uint64_t last_us =
+		outage_us + bounds->settled_us - MIN(bounds->settled_us, SETTLED_MARGIN_US);
 	uint64_t until_us = MIN(now_us + bounds->usual_us, last_us);
 
 	if (instance == NULL || until_us <= now_us)
 		return false;
 	instance->listed = false;
-	instance->lapse_us = until_us;
+	instance->expire_us = until_us;
 	return true;
 }
 
@@ -276,7 +279,7 @@
 	for (GList *at = all; at != NULL; at = at->next)
 	{
 		struct comet_instance *instance = at->data;
-		if (instance->lapse_us == 0 || instance->lapse_us > now_us)
+		if (instance->expire_us == 0 || instance->expire_us > now_us)
 			continue;
 		dropped(ctx, instance->id);
 		comet_instances_remove(instances, instance->id);
@@ -297,7 +300,7 @@
 }
 
 const GPtrArray *
-comet_instances_of(struct comet_instances *instances, const char *service)
+comet_instances_for_service(struct comet_instances *instances, const char *service)
 {
 	const GPtrArray *array = g_hash_table_lookup(instances->services, service);
 
@@ -319,7 +322,8 @@
 size_t
 comet_instances_services(const struct comet_instances *instances)
 {
-	return MAX(g_hash_table_size(instances->services), g_hash_table_size(instances->speeds));
+	return MAX(g_hash_table_size(instances->services),
+		g_hash_table_size(instances->latency_model));
 }
 
 uint64_t
@@ -329,18 +333,19 @@
 }
 
 uint64_t
-comet_instances_usual_first_us(
-	struct comet_instances *instances, const char *service, const struct comet_job *job)
+comet_instances_typical_first_us(struct comet_instances *instances, const char *service,
+	const struct comet_request_size *job)
 {
-	const struct comet_speeds *speeds = speeds_of(instances, service);
+	const struct comet_latency_model *latency_model = speeds_of(instances, service);
 
 	if (!job->stream)
-		return (uint64_t)comet_speeds_mean_us(speeds, COMET_SPEED_PLAIN);
-	return (uint64_t)comet_speeds_first_us(speeds, job->prompt_tokens);
+		return (uint64_t)comet_latency_model_mean_us(
+			latency_model, COMET_LATENCY_KIND_PLAIN);
+	return (uint64_t)comet_latency_model_first_us(latency_model, job->prompt_tokens);
 }
 
 uint64_t
-comet_instances_usual_us(struct comet_instances *instances, const char *service)
+comet_instances_typical_slot_us(struct comet_instances *instances, const char *service)
 {
-	return (uint64_t)comet_speeds_slot_us(speeds_of(instances, service));
+	return (uint64_t)comet_latency_model_slot_us(speeds_of(instances, service));
 }
--- a/libcometspindle/gateway/endpoints/instances.h
+++ b/libcometspindle/gateway/endpoints/instances.h
@@ -20,10 +20,10 @@
 	const char *service;
 	const char *address; /**< "a.b.c.d:port" */
 	const char *zone;
-	uint32_t slots;      /**< requests it works on at once */
-	uint32_t warm_up_ms; /**< how much longer it is slow from its start */
-	bool draining;       /**< it takes no new work */
-	uint64_t born_ms;    /**< when its process started, by its own clock; 0: not told */
+	uint32_t slots;            /**< requests it works on at once */
+	uint32_t warm_up_ms;       /**< how much longer it is slow from its start */
+	bool draining;             /**< it takes no new work */
+	uint64_t process_start_ms; /**< when its process started, by its own clock; 0: not told */
 };
 
 struct comet_instances;
@@ -42,25 +42,26 @@
 comet_instances_remove(struct comet_instances *instances, const char *id);
 
 /** How long what is unlisted after an outage is used on. */
-struct comet_lapse_bounds
+struct comet_expiry_config
 {
 	uint64_t usual_us;   /**< from when it was found unlisted */
 	uint64_t settled_us; /**< after an outage the directory's word is whole again */
 };
 
 /**
- * It was found unlisted after an outage, which was last known to go on at out_us: it is used on
+ * It was found unlisted after an outage, which was last known to go on at outage_us: it is used on
  * for a while, or less when the outage may have been over for long, and then dropped.
  * @return false: it is not to be used any more.
  */
 bool
-comet_instances_lapse(struct comet_instances *instances, const char *id, uint64_t out_us,
-	const struct comet_lapse_bounds *bounds, uint64_t now_us) G_GNUC_WARN_UNUSED_RESULT;
+comet_instances_schedule_expiry(struct comet_instances *instances, const char *id,
+	uint64_t outage_us, const struct comet_expiry_config *bounds,
+	uint64_t now_us) G_GNUC_WARN_UNUSED_RESULT;
 
 /** What instances of a service bear while they are cold. */
 void
 comet_instances_set_slow_start(struct comet_instances *instances, const char *service,
-	const struct comet_slow_start_bounds *bounds);
+	const struct comet_slow_start_config *bounds);
 
 /** Instances of a zone get no new work, also those that are put later. */
 void
@@ -87,7 +88,7 @@
 
 /** Instances of a service; NULL when there are none. Of struct comet_instance pointers. */
 const GPtrArray *
-comet_instances_of(struct comet_instances *instances, const char *service);
+comet_instances_for_service(struct comet_instances *instances, const char *service);
 
 /** Number of services of which something is remembered. */
 size_t
@@ -104,11 +105,11 @@
 
 /** Expected time until the first event at an instance of usual pace where nothing waits. */
 uint64_t
-comet_instances_usual_first_us(
-	struct comet_instances *instances, const char *service, const struct comet_job *job);
+comet_instances_typical_first_us(struct comet_instances *instances, const char *service,
+	const struct comet_request_size *job);
 
 /** How long a usual request of a service holds a slot of an instance of usual pace. */
 uint64_t
-comet_instances_usual_us(struct comet_instances *instances, const char *service);
+comet_instances_typical_slot_us(struct comet_instances *instances, const char *service);
 
 #endif
--- a/libcometspindle/gateway/endpoints/outage.c
+++ b/libcometspindle/gateway/endpoints/outage.c
@@ -34,7 +34,7 @@
 	bool first = !outage->failing;
 
 	if (shows_outage(outage, failure))
-		outage->out_us = MAX(asked_us, now_us - MIN(now_us, HANDLED_WITHIN_US));
+		outage->outage_us = MAX(asked_us, now_us - MIN(now_us, HANDLED_WITHIN_US));
 	outage->failing = true;
 	return first;
 }
@@ -42,9 +42,9 @@
 uint64_t
 comet_outage_answered(struct comet_outage *outage)
 {
-	uint64_t out_us = outage->out_us;
+	uint64_t outage_us = outage->outage_us;
 
 	outage->failing = false;
-	outage->out_us = 0;
-	return out_us;
+	outage->outage_us = 0;
+	return outage_us;
 }
--- a/libcometspindle/gateway/endpoints/outage.h
+++ b/libcometspindle/gateway/endpoints/outage.h
@@ -23,8 +23,9 @@
 /** Zeroed: no outage. */
 struct comet_outage
 {
-	bool failing;    /**< the last call failed */
-	uint64_t out_us; /**< when the directory was last known to be out, since it failed; or 0 */
+	bool failing;       /**< the last call failed */
+	uint64_t outage_us; /**< when the directory was last known to be out, since it failed; or 0
+			     */
 };
 
 /** A call that was made at asked_us has failed. @return whether the one before it had not. */
@@ -32,7 +33,8 @@
 comet_outage_failed(struct comet_outage *outage, enum comet_call_failure failure, uint64_t asked_us,
 	uint64_t now_us);
 
-/** A call has succeeded: there is no outage any more. @return as out_us, of the one that is over.
+/** A call has succeeded: there is no outage any more. @return as outage_us, of the one that is
+ * over.
  */
 uint64_t
 comet_outage_answered(struct comet_outage *outage);
--- a/libcometspindle/gateway/endpoints/slow_start.c
+++ b/libcometspindle/gateway/endpoints/slow_start.c
@@ -16,7 +16,7 @@
 #define REST_US 2000000
 
 static bool
-is_bounded(const struct comet_slow_start_bounds *bounds)
+is_bounded(const struct comet_slow_start_config *bounds)
 {
 	return bounds->cold_us > 0 && bounds->most_per_s > 0;
 }
@@ -28,21 +28,21 @@
 }
 
 void
-comet_slow_start_begin(struct comet_slow_start *start, const struct comet_slow_start_bounds *bounds,
+comet_slow_start_begin(struct comet_slow_start *start, const struct comet_slow_start_config *bounds,
 	uint64_t now_us)
 {
 	if (is_bounded(bounds))
-		comet_slow_start_told(start, now_us + bounds->cold_us);
+		comet_slow_start_set_until(start, now_us + bounds->cold_us);
 }
 
 void
-comet_slow_start_told(struct comet_slow_start *start, uint64_t until_us)
+comet_slow_start_set_until(struct comet_slow_start *start, uint64_t until_us)
 {
 	start->until_us = MAX(start->until_us, until_us);
 }
 
 void
-comet_slow_start_count(struct comet_slow_start *start, const struct comet_slow_start_bounds *bounds,
+comet_slow_start_count(struct comet_slow_start *start, const struct comet_slow_start_config *bounds,
 	uint64_t now_us)
 {
 	uint64_t slice = now_us / SLICE_US;
@@ -74,7 +74,7 @@
 
 bool
 comet_slow_start_admits(const struct comet_slow_start *start,
-	const struct comet_slow_start_bounds *bounds, double share, double draw, uint64_t now_us)
+	const struct comet_slow_start_config *bounds, double share, double draw, uint64_t now_us)
 {
 	bool cold = now_us < start->until_us || has_rested(start, now_us);
 	double most = bounds->most_per_s * share;
--- a/libcometspindle/gateway/endpoints/slow_start.h
+++ b/libcometspindle/gateway/endpoints/slow_start.h
@@ -17,7 +17,7 @@
 #define COMET_SLOW_START_SLICES 12
 
 /** What the endpoints of a service bear while they are cold. */
-struct comet_slow_start_bounds
+struct comet_slow_start_config
 {
 	uint64_t cold_us;  /**< how long one is cold after its start; 0: none ever is */
 	double most_per_s; /**< requests that it may receive in a second, of all VMs; 0: any */
@@ -34,16 +34,16 @@
 
 /** It has just started, as far as is known. */
 void
-comet_slow_start_begin(struct comet_slow_start *start, const struct comet_slow_start_bounds *bounds,
+comet_slow_start_begin(struct comet_slow_start *start, const struct comet_slow_start_config *bounds,
 	uint64_t now_us);
 
 /** It is cold until that time, by its own word. */
 void
-comet_slow_start_told(struct comet_slow_start *start, uint64_t until_us);
+comet_slow_start_set_until(struct comet_slow_start *start, uint64_t until_us);
 
 /** A request is sent there by this VM, or by one that it granted a slot to. */
 void
-comet_slow_start_count(struct comet_slow_start *start, const struct comet_slow_start_bounds *bounds,
+comet_slow_start_count(struct comet_slow_start *start, const struct comet_slow_start_config *bounds,
 	uint64_t now_us);
 
 /**
@@ -54,6 +54,6 @@
  */
 bool
 comet_slow_start_admits(const struct comet_slow_start *start,
-	const struct comet_slow_start_bounds *bounds, double share, double draw, uint64_t now_us);
+	const struct comet_slow_start_config *bounds, double share, double draw, uint64_t now_us);
 
 #endif
--- a/libcometspindle/gateway/event_stream.c
+++ b/libcometspindle/gateway/event_stream.c
@@ -176,7 +176,7 @@
 }
 
 void
-comet_event_stream_taken(struct comet_event_stream *stream)
+comet_event_stream_consume(struct comet_event_stream *stream)
 {
 	take_ids(stream);
 	if (stream->ready > stream->whole)
--- a/libcometspindle/gateway/event_stream.h
+++ b/libcometspindle/gateway/event_stream.h
@@ -29,7 +29,7 @@
 
 /** Removes it; takes over the last id. */
 void
-comet_event_stream_taken(struct comet_event_stream *stream);
+comet_event_stream_consume(struct comet_event_stream *stream);
 
 /** Forgets an unfinished event; what comes next is from another run. @return its bytes. */
 size_t
--- a/libcometspindle/gateway/fleet/views_keepers.c
+++ b/libcometspindle/gateway/fleet/gossip_owners.c
@@ -1,8 +1,8 @@
 /*
- * views_keepers.c
+ * gossip_owners.c
  * which VM keeps count for a key: the same one on all VMs that hear the same
  */
-#include <libcometspindle/gateway/fleet/views_state.h>
+#include <libcometspindle/gateway/fleet/gossip_state.h>
 
 #include <libcometspindle/hash.h>
 
@@ -57,27 +57,28 @@
 }
 
 uint32_t
-comet_views_keeper(const struct comet_views *views, uint32_t key, uint32_t zone, uint64_t now_us)
+comet_gossip_find_owner(
+	const struct comet_gossip *gossip, uint32_t key, uint32_t zone, uint64_t now_us)
 {
-	return comet_views_keeper_but(views, key, zone, NULL, NULL, now_us);
+	return comet_gossip_find_responsive_owner(gossip, key, zone, NULL, NULL, now_us);
 }
 
 uint32_t
-comet_views_keeper_but(const struct comet_views *views, uint32_t key, uint32_t zone,
-	comet_views_is_mute is_mute, const void *ctx, uint64_t now_us)
+comet_gossip_find_responsive_owner(const struct comet_gossip *gossip, uint32_t key, uint32_t zone,
+	comet_gossip_is_unresponsive is_mute, const void *ctx, uint64_t now_us)
 {
 	struct suitability best = {0};
 	GHashTableIter at;
 	gpointer value = NULL;
 
-	if (!views->leaving)
-		best = suitability_of(views->address, views->began_us, views->zone == zone,
-			views->cpu_percent, key, now_us);
-	g_hash_table_iter_init(&at, views->peers);
+	if (!gossip->leaving)
+		best = suitability_of(gossip->address, gossip->began_us, gossip->zone == zone,
+			gossip->cpu_percent, key, now_us);
+	g_hash_table_iter_init(&at, gossip->peers);
 	while (g_hash_table_iter_next(&at, NULL, &value))
 	{
-		const struct comet_views_peer *peer = value;
-		if (peer->heard_us == 0 || peer->silent || peer->leaving)
+		const struct comet_gossip_peer *peer = value;
+		if (peer->last_seen_us == 0 || peer->silent || peer->leaving)
 			continue;
 		struct suitability one = suitability_of(peer->address, peer->began_us,
 			peer->zone == zone, peer->cpu_percent, key, now_us);
@@ -97,17 +98,17 @@
 }
 
 uint32_t
-comet_views_seed_keeper(
-	const struct comet_views *views, uint32_t key, comet_views_is_mute is_mute, const void *ctx)
+comet_gossip_find_seed_owner(const struct comet_gossip *gossip, uint32_t key,
+	comet_gossip_is_unresponsive is_mute, const void *ctx)
 {
-	uint32_t best = views->is_seed && !views->leaving ? views->address : 0;
+	uint32_t best = gossip->is_seed && !gossip->leaving ? gossip->address : 0;
 	GHashTableIter at;
 	gpointer value = NULL;
 
-	g_hash_table_iter_init(&at, views->peers);
+	g_hash_table_iter_init(&at, gossip->peers);
 	while (g_hash_table_iter_next(&at, NULL, &value))
 	{
-		const struct comet_views_peer *peer = value;
+		const struct comet_gossip_peer *peer = value;
 		if (peer->seed && !peer->leaving && !is_mute(ctx, peer->address))
 			best = higher(key, best, peer->address);
 	}
@@ -115,35 +116,36 @@
 }
 
 void
-comet_views_count_near(
-	const struct comet_views *views, uint64_t now_us, uint32_t *heard, uint32_t *better)
+comet_gossip_count_zone_peers(
+	const struct comet_gossip *gossip, uint64_t now_us, uint32_t *heard, uint32_t *better)
 {
 	struct suitability self = suitability_of(
-		views->address, views->began_us, true, views->cpu_percent, views->zone, now_us);
+		gossip->address, gossip->began_us, true, gossip->cpu_percent, gossip->zone, now_us);
 	GHashTableIter at;
 	gpointer value = NULL;
 
 	*heard = 1;
 	*better = 0;
-	g_hash_table_iter_init(&at, views->peers);
+	g_hash_table_iter_init(&at, gossip->peers);
 	while (g_hash_table_iter_next(&at, NULL, &value))
 	{
-		const struct comet_views_peer *peer = value;
-		if (!comet_views_is_there(peer) || !comet_views_is_near(views, peer) ||
+		const struct comet_gossip_peer *peer = value;
+		if (!comet_gossip_is_alive(peer) || !comet_gossip_is_same_zone(gossip, peer) ||
 			peer->leaving)
 			continue;
 		struct suitability one = suitability_of(peer->address, peer->began_us, true,
-			peer->cpu_percent, views->zone, now_us);
+			peer->cpu_percent, gossip->zone, now_us);
 		(*heard)++;
 		*better += is_better(&one, &self) ? 1 : 0;
 	}
 }
 
 bool
-comet_views_hears_near(const struct comet_views *views, uint32_t address)
+comet_gossip_is_zone_peer_alive(const struct comet_gossip *gossip, uint32_t address)
 {
-	const struct comet_views_peer *peer =
-		g_hash_table_lookup(views->peers, GUINT_TO_POINTER(address));
+	const struct comet_gossip_peer *peer =
+		g_hash_table_lookup(gossip->peers, GUINT_TO_POINTER(address));
 
-	return peer != NULL && comet_views_is_there(peer) && comet_views_is_near(views, peer);
+	return peer != NULL && comet_gossip_is_alive(peer) &&
+	       comet_gossip_is_same_zone(gossip, peer);
 }
--- a/libcometspindle/gateway/fleet/readers.h
+++ b/libcometspindle/gateway/fleet/reader_election.h
@@ -1,5 +1,5 @@
 /*
- * readers.h
+ * reader_election.h
  * whether this VM reads the directory, or follows the readers of its availability zone
  *
  * Two VMs of a large zone read the directory for all and report how far; calls
@@ -7,8 +7,8 @@
  * without coordination; a VM without a fresh report reads for itself. Two opinions
  * on who reads cost some calls and nothing else. No sockets and no clock.
  */
-#ifndef COMETSPINDLE_GATEWAY_READERS_H
-#define COMETSPINDLE_GATEWAY_READERS_H
+#ifndef COMETSPINDLE_GATEWAY_READER_ELECTION_H
+#define COMETSPINDLE_GATEWAY_READER_ELECTION_H
 
 #include <libcometspindle/gateway/directory.h>
 #include <stdbool.h>
@@ -24,7 +24,7 @@
 };
 
 /** What this VM knows of itself and its zone. */
-struct comet_readers_sight
+struct comet_reader_election_state
 {
 	bool listed;       /**< it has read the directory once */
 	bool leaving;      /**< it stops */
@@ -33,42 +33,45 @@
 	uint64_t position; /**< up to which its endpoints are complete */
 };
 
-struct comet_readers;
+struct comet_reader_election;
 
 /** followed_us: how long a report is fresh after the directory's answer. seed: of jitter, which
  * must differ between VMs. */
-struct comet_readers *
-comet_readers_create(void *parent, uint64_t followed_us, uint64_t seed);
+struct comet_reader_election *
+comet_reader_election_create(void *parent, uint64_t followed_us, uint64_t seed);
 
 /** Takes a report of a reader of this zone. */
 void
-comet_readers_report(
-	struct comet_readers *readers, const struct comet_reader_report *report, uint64_t now_us);
+comet_reader_election_report(struct comet_reader_election *reader_election,
+	const struct comet_reader_report *report, uint64_t now_us);
 
 /** A reader did not provide what it had reported. */
 void
-comet_readers_failed(struct comet_readers *readers, uint64_t now_us);
+comet_reader_election_failed(struct comet_reader_election *reader_election, uint64_t now_us);
 
 /** @return what this VM is to do; to be asked some times a second. */
-enum comet_directory_reading
-comet_readers_decide(
-	struct comet_readers *readers, const struct comet_readers_sight *sight, uint64_t now_us);
+enum comet_directory_mode
+comet_reader_election_decide(struct comet_reader_election *reader_election,
+	const struct comet_reader_election_state *sight, uint64_t now_us);
 
 /** @return the fresh reader with the most endpoints after `position`, or 0. */
 uint32_t
-comet_readers_ahead(const struct comet_readers *readers, uint64_t position, uint64_t now_us);
+comet_reader_election_ahead(
+	const struct comet_reader_election *reader_election, uint64_t position, uint64_t now_us);
 
 /** @return a fresh reader that is complete after `position`, or 0. */
 uint32_t
-comet_readers_ahead_complete(
-	const struct comet_readers *readers, uint64_t position, uint64_t now_us);
+comet_reader_election_ahead_complete(
+	const struct comet_reader_election *reader_election, uint64_t position, uint64_t now_us);
 
 /** @return a random fresh reader whose endpoints are complete up to `position`, or 0. */
 uint32_t
-comet_readers_pick(struct comet_readers *readers, uint64_t position, uint64_t now_us);
+comet_reader_election_pick(
+	struct comet_reader_election *reader_election, uint64_t position, uint64_t now_us);
 
 /** @return whether a report of this age is fresh. */
 bool
-comet_readers_is_fresh(const struct comet_readers *readers, uint64_t age_us);
+comet_reader_election_is_fresh(
+	const struct comet_reader_election *reader_election, uint64_t age_us);
 
 #endif
--- a/libcometspindle/gateway/wire_names.c
+++ b/libcometspindle/gateway/header_names.c
@@ -1,8 +1,8 @@
 /*
- * wire_names.c
+ * header_names.c
  * the values of headers that callers and endpoints use
  */
-#include <libcometspindle/gateway/wire_names.h>
+#include <libcometspindle/gateway/header_names.h>
 
 #include <glib.h>
 #include <stddef.h>
@@ -17,7 +17,7 @@
 #define SECONDS_MAX 3600.0
 
 bool
-comet_wire_is_reserved(const struct comet_wire_names *names, const char *header)
+comet_header_is_reserved(const struct comet_header_names *names, const char *header)
 {
 	for (const char *const *name = names->reserved; *name != NULL; name++)
 	{
@@ -47,7 +47,7 @@
 }
 
 bool
-comet_wire_parse_tokens(const char *text, uint32_t *prompt, uint32_t *output)
+comet_header_parse_tokens(const char *text, uint32_t *prompt, uint32_t *output)
 {
 	uint32_t numbers[2];
 
@@ -59,24 +59,24 @@
 }
 
 bool
-comet_wire_parse_load(const char *text, struct comet_wire_load *load)
+comet_header_parse_load(const char *text, struct comet_header_load *load)
 {
 	uint32_t numbers[3];
 
 	if (!parse_numbers(text, numbers, 3) || numbers[0] > LOAD_MAX || numbers[1] > LOAD_MAX)
 		return false;
-	*load = (struct comet_wire_load){numbers[0], numbers[1], numbers[2]};
+	*load = (struct comet_header_load){numbers[0], numbers[1], numbers[2]};
 	return true;
 }
 
 bool
-comet_wire_parse_ms(const char *text, uint32_t *ms)
+comet_header_parse_ms(const char *text, uint32_t *ms)
 {
 	return parse_numbers(text, ms, 1);
 }
 
 bool
-comet_wire_parse_seconds(const char *text, uint32_t *ms)
+comet_header_parse_seconds(const char *text, uint32_t *ms)
 {
 	char *end = NULL;
 
@@ -103,7 +103,7 @@
 }
 
 bool
-comet_wire_parse_keep_alive(const char *text, uint32_t *seconds)
+comet_header_parse_keep_alive(const char *text, uint32_t *seconds)
 {
 	char **parameters = g_strsplit(text, ",", -1);
 	bool told = false;
--- a/libcometspindle/gateway/wire_names.h
+++ b/libcometspindle/gateway/header_names.h
@@ -1,15 +1,15 @@
 /*
- * wire_names.h
+ * header_names.h
  * port: the header names that callers and endpoints use for what we mean
  */
-#ifndef COMETSPINDLE_GATEWAY_WIRE_NAMES_H
-#define COMETSPINDLE_GATEWAY_WIRE_NAMES_H
+#ifndef COMETSPINDLE_GATEWAY_HEADER_NAMES_H
+#define COMETSPINDLE_GATEWAY_HEADER_NAMES_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
 /** Names of headers; none is NULL. */
-struct comet_wire_names
+struct comet_header_names
 {
 	const char *request_id;      /**< the caller's id of one attempt, repeated by the answer */
 	const char *deadline_ms;     /**< how long whoever asks will wait */
@@ -29,7 +29,7 @@
 };
 
 /** What a load header tells. */
-struct comet_wire_load
+struct comet_header_load
 {
 	uint32_t running;
 	uint32_t waiting;
@@ -38,26 +38,26 @@
 
 /** @return whether a header is ours to set, and not passed on as a caller sent it. */
 bool
-comet_wire_is_reserved(const struct comet_wire_names *names, const char *header);
+comet_header_is_reserved(const struct comet_header_names *names, const char *header);
 
 /** Parses "prompt,output"; false when it is not two whole numbers. */
 bool
-comet_wire_parse_tokens(const char *text, uint32_t *prompt, uint32_t *output);
+comet_header_parse_tokens(const char *text, uint32_t *prompt, uint32_t *output);
 
 /** Parses "running,waiting,slots"; false when it is not three whole numbers of a plausible size. */
 bool
-comet_wire_parse_load(const char *text, struct comet_wire_load *load);
+comet_header_parse_load(const char *text, struct comet_header_load *load);
 
 /** Parses a whole number of milliseconds; false when it is not one. */
 bool
-comet_wire_parse_ms(const char *text, uint32_t *ms);
+comet_header_parse_ms(const char *text, uint32_t *ms);
 
 /** Parses seconds, whole or with a fraction, at most an hour; false when it is none. */
 bool
-comet_wire_parse_seconds(const char *text, uint32_t *ms);
+comet_header_parse_seconds(const char *text, uint32_t *ms);
 
 /** Parses the "timeout" of a Keep-Alive header. @return false if it tells none in whole seconds */
 bool
-comet_wire_parse_keep_alive(const char *text, uint32_t *seconds);
+comet_header_parse_keep_alive(const char *text, uint32_t *seconds);
 
 #endif
--- a/libcometspindle/gateway/messages/asks.c
+++ b/libcometspindle/gateway/messages/pending_rpcs.c
@@ -1,8 +1,8 @@
 /*
- * asks.c
+ * pending_rpcs.c
  * questions to other VMs that wait for their answers, and VMs that left one unanswered
  */
-#include <libcometspindle/gateway/messages/asks.h>
+#include <libcometspindle/gateway/messages/pending_rpcs.h>
 
 #include <glib.h>
 #include <talloc.h>
@@ -15,26 +15,26 @@
  * silence is noticed by its missing views. */
 #define MUTE_US 1000000
 
-struct comet_asks
+struct comet_pending_rpcs
 {
 	size_t entry_bytes;
 	uint64_t number;
-	GQueue open;      /* of struct comet_ask, oldest first */
+	GQueue open;      /* of struct comet_pending_rpc, oldest first */
 	GHashTable *mute; /* address -> uint64_t, until when */
 };
 
 static int
-asks_destroy(struct comet_asks *asks)
+asks_destroy(struct comet_pending_rpcs *asks)
 {
 	g_queue_clear_full(&asks->open, g_free);
 	g_hash_table_destroy(asks->mute);
 	return 0;
 }
 
-struct comet_asks *
-comet_asks_create(void *parent, size_t entry_bytes)
+struct comet_pending_rpcs *
+comet_pending_rpcs_create(void *parent, size_t entry_bytes)
 {
-	struct comet_asks *asks = talloc_zero(parent, struct comet_asks);
+	struct comet_pending_rpcs *asks = talloc_zero(parent, struct comet_pending_rpcs);
 
 	asks->entry_bytes = entry_bytes;
 	g_queue_init(&asks->open);
@@ -44,9 +44,9 @@
 }
 
 void *
-comet_asks_add(struct comet_asks *asks, void *owner, uint32_t vm, uint64_t now_us)
+comet_pending_rpcs_add(struct comet_pending_rpcs *asks, void *owner, uint32_t vm, uint64_t now_us)
 {
-	struct comet_ask *ask = g_malloc0(asks->entry_bytes);
+	struct comet_pending_rpc *ask = g_malloc0(asks->entry_bytes);
 
 	ask->owner = owner;
 	ask->number = ++asks->number;
@@ -58,11 +58,11 @@
 }
 
 void *
-comet_asks_find(const struct comet_asks *asks, uint64_t number, uint32_t vm)
+comet_pending_rpcs_find(const struct comet_pending_rpcs *asks, uint64_t number, uint32_t vm)
 {
 	for (GList *at = asks->open.head; at != NULL; at = at->next)
 	{
-		const struct comet_ask *ask = at->data;
+		const struct comet_pending_rpc *ask = at->data;
 		if (ask->number == number && ask->vm == vm)
 			return at->data;
 	}
@@ -70,18 +70,18 @@
 }
 
 void
-comet_asks_remove(struct comet_asks *asks, void *entry)
+comet_pending_rpcs_remove(struct comet_pending_rpcs *asks, void *entry)
 {
 	g_queue_remove(&asks->open, entry);
 	g_free(entry);
 }
 
 void *
-comet_asks_of(const struct comet_asks *asks, const void *owner)
+comet_pending_rpcs_find_owner(const struct comet_pending_rpcs *asks, const void *owner)
 {
 	for (GList *at = asks->open.head; at != NULL; at = at->next)
 	{
-		const struct comet_ask *ask = at->data;
+		const struct comet_pending_rpc *ask = at->data;
 		if (ask->owner == owner)
 			return at->data;
 	}
@@ -89,11 +89,11 @@
 }
 
 void *
-comet_asks_overdue(const struct comet_asks *asks, uint64_t now_us)
+comet_pending_rpcs_find_expired(const struct comet_pending_rpcs *asks, uint64_t now_us)
 {
 	for (GList *at = asks->open.head; at != NULL; at = at->next)
 	{
-		const struct comet_ask *ask = at->data;
+		const struct comet_pending_rpc *ask = at->data;
 		/* One that was begun meanwhile may be younger than now_us. */
 		if (ask->since_us + ask->most_us <= now_us)
 			return at->data;
@@ -102,13 +102,13 @@
 }
 
 bool
-comet_asks_any(const struct comet_asks *asks)
+comet_pending_rpcs_has_pending(const struct comet_pending_rpcs *asks)
 {
 	return !g_queue_is_empty((GQueue *)&asks->open);
 }
 
 void
-comet_asks_mute(struct comet_asks *asks, uint32_t vm, uint64_t now_us)
+comet_pending_rpcs_mark_unresponsive(struct comet_pending_rpcs *asks, uint32_t vm, uint64_t now_us)
 {
 	uint64_t *until = g_new(uint64_t, 1);
 
@@ -117,13 +117,14 @@
 }
 
 void
-comet_asks_heard(struct comet_asks *asks, uint32_t vm)
+comet_pending_rpcs_mark_responsive(struct comet_pending_rpcs *asks, uint32_t vm)
 {
 	g_hash_table_remove(asks->mute, GUINT_TO_POINTER(vm));
 }
 
 bool
-comet_asks_is_mute(const struct comet_asks *asks, uint32_t vm, uint64_t now_us)
+comet_pending_rpcs_is_unresponsive(
+	const struct comet_pending_rpcs *asks, uint32_t vm, uint64_t now_us)
 {
 	const uint64_t *until = g_hash_table_lookup(asks->mute, GUINT_TO_POINTER(vm));
 
--- a/libcometspindle/gateway/placement/choice.c
+++ b/libcometspindle/gateway/placement/endpoint_picker.c
@@ -1,8 +1,8 @@
 /*
- * choice.c
+ * endpoint_picker.c
  * the cheapest endpoint with room for a request
  */
-#include <libcometspindle/gateway/placement/choice.h>
+#include <libcometspindle/gateway/placement/endpoint_picker.h>
 
 #include <libcometspindle/hash.h>
 #include <string.h>
@@ -50,7 +50,7 @@
 }
 
 uint32_t
-comet_choice_beyond(const struct comet_placement_item *item)
+comet_endpoint_picker_queue_limit(const struct comet_placement_item *item)
 {
 	if (!item->job.stream)
 		return 0; /* any rank may queue there: a slot comes free in milliseconds */
@@ -74,15 +74,15 @@
 may_try(const struct comet_placement_item *item, const struct comet_instance *instance,
 	uint64_t now_us)
 {
-	if (instance->avoid_us == 0)
+	if (instance->ejected_until_us == 0)
 		return true;
-	if (comet_instance_on_trial(instance, now_us) || now_us < instance->avoid_us)
+	if (comet_instance_is_probing(instance, now_us) || now_us < instance->ejected_until_us)
 		return false;
-	return item->repeatable || now_us - instance->avoid_us > TRIAL_PATIENCE_US;
+	return item->repeatable || now_us - instance->ejected_until_us > TRIAL_PATIENCE_US;
 }
 
 bool
-comet_choice_is_candidate(
+comet_endpoint_picker_is_candidate(
 	const struct comet_placement_item *item, const struct comet_instance *instance)
 {
 	return !instance->draining && !instance->evacuated && !instance->replaced &&
@@ -90,15 +90,15 @@
 }
 
 bool
-comet_choice_is_usable(const struct comet_placement_item *item,
+comet_endpoint_picker_is_usable(const struct comet_placement_item *item,
 	const struct comet_instance *instance, uint64_t now_us)
 {
-	return comet_choice_is_candidate(item, instance) && now_us >= instance->full_us &&
-	       may_try(item, instance, now_us);
+	return comet_endpoint_picker_is_candidate(item, instance) &&
+	       now_us >= instance->full_until_us && may_try(item, instance, now_us);
 }
 
 static bool
-is_excepted(const struct comet_choice_scope *scope, uint32_t key)
+is_excepted(const struct comet_endpoint_picker_scope *scope, uint32_t key)
 {
 	for (uint32_t i = 0; i < scope->n_except; i++)
 	{
@@ -114,37 +114,39 @@
 	struct comet_instance *instance; /* NULL: none yet */
 	uint32_t load;
 	uint64_t first_us; /* from its admission there to its first event */
-	uint64_t whole_us; /* to its end */
+	uint64_t total_us; /* to its end */
 	double wait_us;    /* for a slot */
 	double cost;
 };
 
 /* What sending it there costs: the time until the answer begins, and part of what it takes. */
 static struct prospect
-expect(struct comet_choice *choice, const struct comet_placement_item *item,
-	const struct comet_choice_scope *scope, struct comet_instance *instance, uint64_t now_us)
+expect(struct comet_endpoint_picker *choice, const struct comet_placement_item *item,
+	const struct comet_endpoint_picker_scope *scope, struct comet_instance *instance,
+	uint64_t now_us)
 {
 	struct prospect prospect = {.instance = instance};
 
-	prospect.load = scope->kept ? comet_instance_kept_load(instance, now_us)
+	prospect.load = scope->kept ? comet_instance_owned_load(instance, now_us)
 				    : comet_instance_load(instance, now_us);
-	comet_instance_expect(instance, &item->job, now_us, &prospect.first_us, &prospect.whole_us);
-	double whole_us = (double)prospect.whole_us;
+	comet_instance_estimate(
+		instance, &item->job, now_us, &prospect.first_us, &prospect.total_us);
+	double total_us = (double)prospect.total_us;
 	double first_us = (double)prospect.first_us;
 	if (prospect.load >= instance->slots)
 		prospect.wait_us = comet_instance_slot_us(instance) *
 				   (prospect.load - instance->slots + 1) / instance->slots;
-	double crowd = CROWD_WEIGHT * whole_us * prospect.load / instance->slots;
+	double crowd = CROWD_WEIGHT * total_us * prospect.load / instance->slots;
 	double zone = instance->near ? 0 : OTHER_ZONE_US;
 	prospect.cost =
-		prospect.wait_us + crowd + zone + first_us + WHOLE_WEIGHT * (whole_us - first_us);
+		prospect.wait_us + crowd + zone + first_us + WHOLE_WEIGHT * (total_us - first_us);
 	/* Lengths are guessed: an answer that may take twice as long must still be whole in time.
 	 */
-	double end_us = (double)now_us + prospect.wait_us + LENGTH_DOUBT * whole_us;
+	double end_us = (double)now_us + prospect.wait_us + LENGTH_DOUBT * total_us;
 	if (item->end_us != 0 && end_us > (double)item->end_us)
 		prospect.cost += LATE_WEIGHT * (end_us - (double)item->end_us);
 	if (!scope->kept)
-		prospect.cost *= 1 + SPREAD * comet_draw_unit(&choice->draw);
+		prospect.cost *= 1 + SPREAD * comet_random_double(&choice->draw);
 	return prospect;
 }
 
@@ -155,7 +157,8 @@
 {
 	double begin_us = (double)now_us + prospect->wait_us + (double)prospect->first_us;
 
-	return item->late || item->aim_us == 0 || begin_us <= (double)item->aim_us;
+	return item->late || item->soft_deadline_us == 0 ||
+	       begin_us <= (double)item->soft_deadline_us;
 }
 
 static void
@@ -167,8 +170,9 @@
 
 /* May this VM send a cold endpoint one more request? */
 static bool
-is_admitted(const struct comet_choice *choice, const struct comet_choice_scope *scope,
-	const struct comet_instance *instance, uint64_t now_us)
+is_admitted(const struct comet_endpoint_picker *choice,
+	const struct comet_endpoint_picker_scope *scope, const struct comet_instance *instance,
+	uint64_t now_us)
 {
 	if (scope->cold_share == 0 || instance->start_bounds->most_per_s == 0)
 		return true;
@@ -179,8 +183,8 @@
 
 /* Tells what was chosen, and from what. */
 static void
-explain(struct comet_placement_reason *reason, const struct prospect *best,
-	const struct comet_placement_item *item, const struct comet_choice_scope *scope,
+explain(struct comet_placement_decision *reason, const struct prospect *best,
+	const struct comet_placement_item *item, const struct comet_endpoint_picker_scope *scope,
 	uint64_t now_us)
 {
 	const struct comet_instance *instance = best->instance;
@@ -191,16 +195,16 @@
 	reason->load = best->load;
 	reason->slots = instance->slots;
 	reason->first_us = best->first_us;
-	reason->whole_us = best->whole_us;
+	reason->total_us = best->total_us;
 	reason->cost = best->cost;
 	if (!scope->kept)
-		reason->view_age_us = now_us - MAX(instance->others_us, instance->told_us);
+		reason->view_age_us = now_us - MAX(instance->gossip_us, instance->reported_us);
 }
 
 struct comet_instance *
-comet_choice_best(struct comet_choice *choice, const struct comet_placement_item *item,
-	const struct comet_choice_scope *scope, uint64_t now_us,
-	struct comet_placement_reason *reason)
+comet_endpoint_picker_pick(struct comet_endpoint_picker *choice,
+	const struct comet_placement_item *item, const struct comet_endpoint_picker_scope *scope,
+	uint64_t now_us, struct comet_placement_decision *reason)
 {
 	struct prospect timely = {0};
 	struct prospect tardy = {0};
@@ -210,8 +214,8 @@
 	for (guint i = 0; scope->among != NULL && i < scope->among->len; i++)
 	{
 		struct comet_instance *instance = scope->among->pdata[i];
-		reason->candidates += comet_choice_is_candidate(item, instance) ? 1 : 0;
-		if (!comet_choice_is_usable(item, instance, now_us) ||
+		reason->candidates += comet_endpoint_picker_is_candidate(item, instance) ? 1 : 0;
+		if (!comet_endpoint_picker_is_usable(item, instance, now_us) ||
 			is_excepted(scope, instance->key))
 			continue;
 		struct prospect prospect = expect(choice, item, scope, instance, now_us);
--- a/libcometspindle/gateway/placement/choice.h
+++ b/libcometspindle/gateway/placement/endpoint_picker.h
@@ -1,25 +1,25 @@
 /*
- * choice.h
+ * endpoint_picker.h
  * the cheapest endpoint with room for a request
  */
-#ifndef COMETSPINDLE_GATEWAY_CHOICE_H
-#define COMETSPINDLE_GATEWAY_CHOICE_H
+#ifndef COMETSPINDLE_GATEWAY_ENDPOINT_PICKER_H
+#define COMETSPINDLE_GATEWAY_ENDPOINT_PICKER_H
 
-#include <libcometspindle/draw.h>
+#include <libcometspindle/random.h>
 #include <libcometspindle/gateway/endpoints/instances.h>
 #include <libcometspindle/gateway/placement/placement_item.h>
 #include <stdbool.h>
 #include <stdint.h>
 
 /** What a choice is made from. */
-struct comet_choice
+struct comet_endpoint_picker
 {
-	struct comet_draw draw; /**< spreads VMs that know the same */
-	uint32_t seed;          /**< of this VM */
+	struct comet_random draw; /**< spreads VMs that know the same */
+	uint32_t seed;            /**< of this VM */
 };
 
 /** Among which endpoints, and by which count. */
-struct comet_choice_scope
+struct comet_endpoint_picker_scope
 {
 	const GPtrArray *among; /**< of struct comet_instance; NULL: none */
 	uint32_t beyond;        /**< streams: requests that may be there beyond its slots */
@@ -31,22 +31,22 @@
 
 /** Requests that one of the item's rank may have waiting at an endpoint. */
 uint32_t
-comet_choice_beyond(const struct comet_placement_item *item);
+comet_endpoint_picker_queue_limit(const struct comet_placement_item *item);
 
 /** @return whether the item could be sent there, if there is room. */
 bool
-comet_choice_is_usable(const struct comet_placement_item *item,
+comet_endpoint_picker_is_usable(const struct comet_placement_item *item,
 	const struct comet_instance *instance, uint64_t now_us);
 
 /** @return whether the instance is there and the item was not sent to it yet. */
 bool
-comet_choice_is_candidate(
+comet_endpoint_picker_is_candidate(
 	const struct comet_placement_item *item, const struct comet_instance *instance);
 
 /** @return the cheapest instance with room, or NULL; reason tells why. */
 struct comet_instance *
-comet_choice_best(struct comet_choice *choice, const struct comet_placement_item *item,
-	const struct comet_choice_scope *scope, uint64_t now_us,
-	struct comet_placement_reason *reason);
+comet_endpoint_picker_pick(struct comet_endpoint_picker *choice,
+	const struct comet_placement_item *item, const struct comet_endpoint_picker_scope *scope,
+	uint64_t now_us, struct comet_placement_decision *reason);
 
 #endif
--- a/libcometspindle/gateway/placement/grants.c
+++ b/libcometspindle/gateway/placement/grants.c
@@ -5,14 +5,14 @@
 #include <libcometspindle/gateway/placement/grants.h>
 
 #include <glib.h>
-#include <libcometspindle/gateway/messages/asks.h>
+#include <libcometspindle/gateway/messages/pending_rpcs.h>
 #include <string.h>
 #include <talloc.h>
 
 /* An ask for a slot that is not answered yet. */
 struct open_ask
 {
-	struct comet_ask ask; /* first member; its owner is the item, its VM the keeper */
+	struct comet_pending_rpc ask; /* first member; its owner is the item, its VM the keeper */
 	uint32_t shard;
 	uint32_t beyond;
 	uint64_t wait_us; /* it may wait at the keeper so long */
@@ -24,7 +24,7 @@
 	uint32_t address;
 	const struct comet_grants_ops *ops;
 	void *ctx;
-	struct comet_asks *asks; /* of struct open_ask */
+	struct comet_pending_rpcs *asks; /* of struct open_ask */
 };
 
 struct comet_grants *
@@ -35,7 +35,7 @@
 	grants->address = address;
 	grants->ops = ops;
 	grants->ctx = ctx;
-	grants->asks = comet_asks_create(grants, sizeof(struct open_ask));
+	grants->asks = comet_pending_rpcs_create(grants, sizeof(struct open_ask));
 	return grants;
 }
 
@@ -58,12 +58,12 @@
 }
 
 void
-comet_grants_ask(struct comet_grants *grants, struct comet_placement_item *item, uint32_t keeper,
-	const struct comet_placement_ask *ask, uint64_t now_us)
+comet_grants_request(struct comet_grants *grants, struct comet_placement_item *item,
+	uint32_t keeper, const struct comet_slot_request *ask, uint64_t now_us)
 {
 	comet_Datagram datagram = {.which_body = comet_Datagram_ask_tag};
 	comet_SlotAsk *message = &datagram.body.ask;
-	struct open_ask *open = comet_asks_add(grants->asks, item, keeper, now_us);
+	struct open_ask *open = comet_pending_rpcs_add(grants->asks, item, keeper, now_us);
 
 	open->shard = ask->shard;
 	open->beyond = ask->beyond;
@@ -80,7 +80,7 @@
 	message->late = ask->late;
 	message->wait_ms = (uint32_t)(ask->wait_us / 1000);
 	message->left_ms = left_ms(ask->end_us, now_us);
-	message->aim_ms = left_ms(ask->aim_us, now_us);
+	message->aim_ms = left_ms(ask->soft_deadline_us, now_us);
 	message->except_count = (pb_size_t)MIN(ask->n_except, G_N_ELEMENTS(message->except));
 	if (message->except_count > 0)
 		memcpy(message->except, ask->except,
@@ -89,12 +89,12 @@
 }
 
 void
-comet_grants_forget(struct comet_grants *grants, struct comet_placement_item *item)
+comet_grants_cancel(struct comet_grants *grants, struct comet_placement_item *item)
 {
-	struct open_ask *open = comet_asks_of(grants->asks, item);
+	struct open_ask *open = comet_pending_rpcs_find_owner(grants->asks, item);
 
 	if (open != NULL)
-		comet_asks_remove(grants->asks, open);
+		comet_pending_rpcs_remove(grants->asks, open);
 }
 
 /* What is told of a result: that an address is another process's now is seen by each VM for itself,
@@ -107,7 +107,7 @@
 	[COMET_DISPATCH_SILENT] = comet_SlotResult_SILENT,
 	[COMET_DISPATCH_UNREACHED] = comet_SlotResult_UNREACHED,
 	[COMET_DISPATCH_CANCELLED] = comet_SlotResult_NOTHING,
-	[COMET_DISPATCH_WRONG] = comet_SlotResult_NOTHING,
+	[COMET_DISPATCH_WRONG_INSTANCE] = comet_SlotResult_NOTHING,
 };
 
 enum comet_dispatch_result
@@ -123,7 +123,7 @@
 
 void
 comet_grants_release(struct comet_grants *grants, uint32_t keeper, uint32_t instance_key,
-	const struct comet_grants_end *end)
+	const struct comet_grants_completion *end)
 {
 	comet_Datagram datagram = {.which_body = comet_Datagram_freed_tag};
 	comet_SlotFreed *freed = &datagram.body.freed;
@@ -143,9 +143,10 @@
 static void
 take_answer(struct comet_grants *grants, const comet_SlotAnswer *answer)
 {
-	struct open_ask *found = comet_asks_find(grants->asks, answer->number, answer->keeper);
+	struct open_ask *found =
+		comet_pending_rpcs_find(grants->asks, answer->number, answer->keeper);
 
-	comet_asks_heard(grants->asks, answer->keeper);
+	comet_pending_rpcs_mark_responsive(grants->asks, answer->keeper);
 	if (found == NULL)
 	{
 		/* It came too late, or its request is gone. */
@@ -162,7 +163,7 @@
 		return;
 	}
 	struct open_ask open = *found;
-	comet_asks_remove(grants->asks, found);
+	comet_pending_rpcs_remove(grants->asks, found);
 	if (answer->instance != 0)
 		grants->ops->granted(grants->ctx, open.ask.owner, open.ask.vm, answer->instance);
 	else
@@ -171,7 +172,7 @@
 
 static void
 send_answer(struct comet_grants *grants, uint32_t asker, uint64_t number, uint32_t instance_key,
-	const struct comet_placement_wait *wait)
+	const struct comet_placement_wait_estimate *wait)
 {
 	comet_Datagram datagram = {
 		.which_body = comet_Datagram_answer_tag,
@@ -192,7 +193,7 @@
 comet_grants_grant(
 	struct comet_grants *grants, uint32_t asker, uint64_t number, uint32_t instance_key)
 {
-	static const struct comet_placement_wait no_wait = {0};
+	static const struct comet_placement_wait_estimate no_wait = {0};
 
 	send_answer(grants, asker, number, instance_key, &no_wait);
 }
@@ -200,7 +201,7 @@
 static void
 answer_ask(struct comet_grants *grants, const comet_SlotAsk *ask)
 {
-	struct comet_placement_wait wait = {0};
+	struct comet_placement_wait_estimate wait = {0};
 	uint32_t instance_key = grants->ops->choose(grants->ctx, ask, &wait);
 
 	send_answer(grants, ask->asker, ask->number, instance_key, &wait);
@@ -234,7 +235,7 @@
 		grants->ops->waited(grants->ctx, open->ask.owner);
 		return;
 	}
-	comet_asks_mute(grants->asks, open->ask.vm, now_us);
+	comet_pending_rpcs_mark_unresponsive(grants->asks, open->ask.vm, now_us);
 	grants->ops->unanswered(grants->ctx, open->ask.owner, open->ask.vm);
 }
 
@@ -243,17 +244,17 @@
 {
 	struct open_ask *overdue = NULL;
 
-	while ((overdue = comet_asks_overdue(grants->asks, now_us)) != NULL)
+	while ((overdue = comet_pending_rpcs_find_expired(grants->asks, now_us)) != NULL)
 	{
 		struct open_ask open = *overdue;
-		comet_asks_remove(grants->asks, overdue);
+		comet_pending_rpcs_remove(grants->asks, overdue);
 		give_up(grants, &open, now_us);
 	}
-	return comet_asks_any(grants->asks);
+	return comet_pending_rpcs_has_pending(grants->asks);
 }
 
 bool
-comet_grants_is_mute(const struct comet_grants *grants, uint32_t keeper, uint64_t now_us)
+comet_grants_is_unresponsive(const struct comet_grants *grants, uint32_t keeper, uint64_t now_us)
 {
-	return comet_asks_is_mute(grants->asks, keeper, now_us);
+	return comet_pending_rpcs_is_unresponsive(grants->asks, keeper, now_us);
 }
--- a/libcometspindle/gateway/placement/grants.h
+++ b/libcometspindle/gateway/placement/grants.h
@@ -34,7 +34,8 @@
 	/** Asker: the keeper did not answer in time. */
 	void (*unanswered)(void *ctx, struct comet_placement_item *item, uint32_t keeper);
 	/** Keeper: chooses for another VM. @return the instance's key, or 0. */
-	uint32_t (*choose)(void *ctx, const comet_SlotAsk *ask, struct comet_placement_wait *wait);
+	uint32_t (*choose)(
+		void *ctx, const comet_SlotAsk *ask, struct comet_placement_wait_estimate *wait);
 	/** Keeper: another VM has left a slot that it was granted. */
 	void (*freed)(void *ctx, const comet_SlotFreed *freed);
 };
@@ -47,15 +48,15 @@
 
 /** Asks a keeper for a slot; ends in one of granted, denied, waited, unanswered, or by forget. */
 void
-comet_grants_ask(struct comet_grants *grants, struct comet_placement_item *item, uint32_t keeper,
-	const struct comet_placement_ask *ask, uint64_t now_us);
+comet_grants_request(struct comet_grants *grants, struct comet_placement_item *item,
+	uint32_t keeper, const struct comet_slot_request *ask, uint64_t now_us);
 
 /** The item is not to be placed any more: a grant that still comes is given back. */
 void
-comet_grants_forget(struct comet_grants *grants, struct comet_placement_item *item);
+comet_grants_cancel(struct comet_grants *grants, struct comet_placement_item *item);
 
 /** What a keeper is told of a request that has left its slot. */
-struct comet_grants_end
+struct comet_grants_completion
 {
 	enum comet_dispatch_result result;
 	bool stream;
@@ -66,7 +67,7 @@
 /** Gives a granted slot back; end: NULL when the request was not sent there. */
 void
 comet_grants_release(struct comet_grants *grants, uint32_t keeper, uint32_t instance_key,
-	const struct comet_grants_end *end);
+	const struct comet_grants_completion *end);
 
 /** The result that a keeper is told, as a result of its own. */
 enum comet_dispatch_result
@@ -87,6 +88,6 @@
 
 /** @return whether a VM left an ask unanswered of late. */
 bool
-comet_grants_is_mute(const struct comet_grants *grants, uint32_t keeper, uint64_t now_us);
+comet_grants_is_unresponsive(const struct comet_grants *grants, uint32_t keeper, uint64_t now_us);
 
 #endif
--- a/libcometspindle/gateway/placement/placement.c
+++ b/libcometspindle/gateway/placement/placement.c
@@ -55,7 +55,7 @@
 
 	placement->instances = instances;
 	placement->shards = comet_shards_create(placement, instances);
-	comet_draw_init(&placement->choice.draw, seed);
+	comet_random_init(&placement->choice.draw, seed);
 	placement->choice.seed = (uint32_t)seed;
 	comet_placement_set_vms(placement, 1, 1);
 	placement->ops = ops;
@@ -71,14 +71,14 @@
 comet_placement_set_vms(struct comet_placement *placement, uint32_t heard, uint32_t known)
 {
 	placement->owner_share = MIN(OWNER_SHARE, (double)heard / known);
-	placement->lone_share = LONE_SHARE / known;
+	placement->ownerless_share = LONE_SHARE / known;
 }
 
 /* Drawn, so that callers who were refused together do not come back together. */
 static uint32_t
 with_jitter(struct comet_placement *placement, double wait_ms)
 {
-	double spread = 1 + RETRY_SPREAD * (2 * comet_draw_unit(&placement->choice.draw) - 1);
+	double spread = 1 + RETRY_SPREAD * (2 * comet_random_double(&placement->choice.draw) - 1);
 
 	return (uint32_t)(wait_ms * spread);
 }
@@ -98,15 +98,15 @@
 }
 
 bool
-comet_placement_has_other(
+comet_placement_has_untried(
 	const struct comet_placement *placement, const struct comet_placement_item *item)
 {
-	const GPtrArray *all = comet_instances_of(placement->instances, item->service);
+	const GPtrArray *all = comet_instances_for_service(placement->instances, item->service);
 
 	for (guint i = 0; all != NULL && i < all->len; i++)
 	{
 		const struct comet_instance *instance = all->pdata[i];
-		if (comet_choice_is_candidate(item, instance))
+		if (comet_endpoint_picker_is_candidate(item, instance))
 			return true;
 	}
 	return false;
@@ -118,11 +118,12 @@
 	struct comet_instance *instance, uint32_t keeper, uint64_t now_us)
 {
 	if (item->queued)
-		comet_flow_passed(comet_placement_flow_of(
-					  comet_placement_queue_of(placement, item->service), item),
+		comet_dequeue_rate_dispatched(
+			comet_placement_dequeue_rate(
+				comet_placement_queue_of(placement, item->service), item),
 			now_us);
 	item->queued = false;
-	comet_instance_try(instance, now_us);
+	comet_instance_selected(instance, now_us);
 	item->keeper = keeper;
 	if (item->n_tried < COMET_PLACEMENT_TRIED_MAX)
 		item->tried[item->n_tried++] = instance->key;
@@ -165,10 +166,10 @@
 		at = g_sequence_iter_next(at);
 		if (item->late || !comet_placement_is_late(placement, item, 0, now_us))
 			continue;
-		comet_placement_take_out(placement, item);
+		comet_placement_dequeue(placement, item);
 		item->late = true;
 		uint64_t wait_us = comet_placement_wait_us(placement, item, now_us);
-		if (now_us + wait_us <= item->latest_us)
+		if (now_us + wait_us <= item->dispatch_deadline_us)
 		{
 			comet_placement_enqueue(queue, item, now_us);
 			continue;
@@ -188,7 +189,7 @@
 	{
 		struct comet_placement_item *item =
 			g_sequence_get(g_sequence_get_begin_iter(queue->items));
-		comet_placement_take_out(placement, item);
+		comet_placement_dequeue(placement, item);
 		forget_ask(placement, item);
 		placement->ops->refuse(
 			placement->ctx, item, with_jitter(placement, EVACUATED_RETRY_MS));
@@ -205,9 +206,9 @@
 	{
 		struct comet_placement_item *item = g_sequence_get(at);
 		at = g_sequence_iter_next(at);
-		if (item->latest_us > now_us)
+		if (item->dispatch_deadline_us > now_us)
 			continue;
-		comet_placement_take_out(placement, item);
+		comet_placement_dequeue(placement, item);
 		forget_ask(placement, item);
 		uint64_t wait_us = comet_placement_wait_us(placement, item, now_us);
 		placement->ops->refuse(placement->ctx, item, retry_after_ms(placement, wait_us));
@@ -222,12 +223,12 @@
 	bool may_ask = !item->asking && placement->asking < WAITING_ASKS_MAX;
 	struct comet_instance *instance =
 		may_ask ? comet_placement_find(placement, item, now_us)
-			: comet_placement_find_here(placement, item, now_us);
+			: comet_placement_find_local(placement, item, now_us);
 
 	if (instance == NULL)
 		return item->asking || item->held || item->n_tried > 0;
 	forget_ask(placement, item);
-	comet_placement_take_out(placement, item);
+	comet_placement_dequeue(placement, item);
 	dispatch(placement, item, instance, now_us);
 	return true;
 }
@@ -244,19 +245,19 @@
 		refuse_evacuated(placement, queue);
 		refuse_late(placement, queue, now_us);
 		demote_late(placement, queue, now_us);
-		comet_placement_age_guests(placement, queue, now_us);
+		comet_placement_expire_remote_waiters(placement, queue, now_us);
 	}
 	placement->pass++;
 	GSequenceIter *own = g_sequence_get_begin_iter(queue->items);
-	GSequenceIter *guest = g_sequence_get_begin_iter(queue->guests);
+	GSequenceIter *remote_waiter = g_sequence_get_begin_iter(queue->remote_waiters);
 	bool own_done = g_sequence_iter_is_end(own);
-	bool guests_done = g_sequence_iter_is_end(guest);
+	bool guests_done = g_sequence_iter_is_end(remote_waiter);
 	while (!own_done || !guests_done)
 	{
-		bool own_next =
-			guests_done || (!own_done && comet_placement_compare(g_sequence_get(own),
-							     g_sequence_get(guest), NULL) < 0);
-		gpointer next = g_sequence_get(own_next ? own : guest);
+		bool own_next = guests_done ||
+				(!own_done && comet_placement_compare(g_sequence_get(own),
+						      g_sequence_get(remote_waiter), NULL) < 0);
+		gpointer next = g_sequence_get(own_next ? own : remote_waiter);
 		if (own_next)
 		{
 			own = g_sequence_iter_next(own);
@@ -265,9 +266,9 @@
 		}
 		else
 		{
-			guest = g_sequence_iter_next(guest);
-			comet_placement_offer(placement, next, now_us);
-			guests_done = g_sequence_iter_is_end(guest);
+			remote_waiter = g_sequence_iter_next(remote_waiter);
+			comet_placement_grant_remote_waiter(placement, next, now_us);
+			guests_done = g_sequence_iter_is_end(remote_waiter);
 		}
 	}
 }
@@ -289,7 +290,7 @@
 		for (GList *at = queues; at != NULL; at = at->next)
 		{
 			struct comet_placement_queue *queue = at->data;
-			if (comet_placement_anything_waits(queue))
+			if (comet_placement_has_waiting(queue))
 				run_queue(placement, queue, now_us);
 		}
 		g_list_free(queues);
@@ -319,13 +320,13 @@
 		wait_us = MAX(wait_us, comet_placement_wait_us(placement, item, now_us));
 		item->late = false;
 	}
-	bool hopeless = now_us + wait_us > item->latest_us;
+	bool hopeless = now_us + wait_us > item->dispatch_deadline_us;
 
-	if (!comet_placement_has_other(placement, item))
+	if (!comet_placement_has_untried(placement, item))
 	{
 		/* Nobody serves it just now: worth a short wait, if nobody refused it yet. */
-		item->latest_us = MIN(item->latest_us, item->early_us);
-		hopeless = item->n_tried > 0 || item->latest_us <= now_us;
+		item->dispatch_deadline_us = MIN(item->dispatch_deadline_us, item->early_us);
+		hopeless = item->n_tried > 0 || item->dispatch_deadline_us <= now_us;
 	}
 	if (hopeless)
 		placement->ops->refuse(placement->ctx, item, retry_after_ms(placement, wait_us));
@@ -359,7 +360,7 @@
 	item->queued = false;
 	item->late = false;
 	item->held = false;
-	if (!comet_placement_anything_waits(queue))
+	if (!comet_placement_has_waiting(queue))
 		place(placement, item, now_us);
 	else if (wait_or_refuse(placement, item, now_us))
 		comet_placement_run(placement, now_us);
@@ -376,13 +377,13 @@
 		return false; /* it is placed already: one slot is enough */
 	stop_asking(placement, item);
 	if (item->place != NULL)
-		comet_placement_take_out(placement, item);
+		comet_placement_dequeue(placement, item);
 	if (instance == NULL || strcmp(instance->service, item->service) != 0 ||
-		!comet_choice_is_usable(item, instance, now_us))
+		!comet_endpoint_picker_is_usable(item, instance, now_us))
 	{
 		/* Our lists differ, or more endpoints are doubtful than an ask can name, or the
 		 * answer is not a keeper's: no request leaves its service. */
-		instance = comet_placement_choose_by_views(placement, item, now_us);
+		instance = comet_placement_choose_by_gossip(placement, item, now_us);
 		if (instance != NULL)
 			dispatch(placement, item, instance, now_us);
 		else if (wait_or_refuse(placement, item, now_us))
@@ -393,8 +394,8 @@
 	placement->reason.load = comet_instance_load(instance, now_us);
 	placement->reason.slots = instance->slots;
 	placement->reason.waited_us = now_us - item->since_us;
-	comet_instance_expect(instance, &item->job, now_us, &placement->reason.first_us,
-		&placement->reason.whole_us);
+	comet_instance_estimate(instance, &item->job, now_us, &placement->reason.first_us,
+		&placement->reason.total_us);
 	dispatch_granted(placement, item, instance, keeper, now_us);
 	return true;
 }
@@ -413,7 +414,7 @@
 	uint32_t shard_id, uint32_t beyond, uint64_t now_us)
 {
 	struct comet_shard *shard = comet_shards_find(placement->shards, shard_id);
-	double part = 0.5 + comet_draw_unit(&placement->choice.draw);
+	double part = 0.5 + comet_random_double(&placement->choice.draw);
 
 	if (shard != NULL)
 		comet_shard_denied(shard, beyond, now_us + (uint64_t)(DENIED_US * part));
@@ -431,53 +432,57 @@
  * their rank is served; the keeper sees it. Without its word requests are held to the end of their
  * callers' patience, and refused then. */
 void
-comet_placement_expected(struct comet_placement *placement, struct comet_placement_item *item,
-	uint64_t expected_us, uint64_t now_us)
+comet_placement_set_expected_wait(struct comet_placement *placement,
+	struct comet_placement_item *item, uint64_t expected_us, uint64_t now_us)
 {
-	if (!item->asking || item->place == NULL || now_us + expected_us <= item->latest_us)
+	if (!item->asking || item->place == NULL ||
+		now_us + expected_us <= item->dispatch_deadline_us)
 		return;
-	comet_placement_take_out(placement, item);
+	comet_placement_dequeue(placement, item);
 	forget_ask(placement, item);
 	placement->ops->refuse(placement->ctx, item, retry_after_ms(placement, expected_us));
 }
 
 void
-comet_placement_waited(
+comet_placement_wait_expired(
 	struct comet_placement *placement, struct comet_placement_item *item, uint64_t now_us)
 {
 	look_again(placement, item, now_us);
 }
 
 void
-comet_placement_freed(struct comet_placement *placement, const struct comet_instance *instance)
+comet_placement_slot_released(
+	struct comet_placement *placement, const struct comet_instance *instance)
 {
 	struct comet_shard *shard = comet_shards_find(placement->shards, instance->shard);
 
 	if (shard != NULL)
-		comet_shard_freed(shard);
+		comet_shard_slot_released(shard);
 }
 
 void
-comet_placement_withdraw(struct comet_placement *placement, struct comet_placement_item *item)
+comet_placement_cancel(struct comet_placement *placement, struct comet_placement_item *item)
 {
 	if (item->place != NULL)
-		comet_placement_take_out(placement, item);
+		comet_placement_dequeue(placement, item);
 	forget_ask(placement, item);
 }
 
 struct comet_instance *
-comet_placement_choose_for(struct comet_placement *placement, const struct comet_placement_ask *ask,
-	uint64_t now_us, struct comet_placement_wait *wait)
+comet_placement_choose_remote(struct comet_placement *placement,
+	const struct comet_slot_request *ask, uint64_t now_us,
+	struct comet_placement_wait_estimate *wait)
 {
-	struct comet_instance *best = comet_placement_admit_guest(placement, ask, now_us, wait);
+	struct comet_instance *best =
+		comet_placement_admit_remote_waiter(placement, ask, now_us, wait);
 
 	if (wait->waits)
 		comet_placement_run(placement, now_us); /* what others cannot use may do for it */
 	return best;
 }
 
-const struct comet_placement_reason *
-comet_placement_reason(const struct comet_placement *placement)
+const struct comet_placement_decision *
+comet_placement_decision(const struct comet_placement *placement)
 {
 	return &placement->reason;
 }
--- a/libcometspindle/gateway/placement/placement.h
+++ b/libcometspindle/gateway/placement/placement.h
@@ -35,7 +35,7 @@
 
 /** It is not to be placed any more; nothing happens if it does not wait. */
 void
-comet_placement_withdraw(struct comet_placement *placement, struct comet_placement_item *item);
+comet_placement_cancel(struct comet_placement *placement, struct comet_placement_item *item);
 
 /** Room may have come up, or time has passed. */
 void
@@ -53,12 +53,12 @@
 
 /** It waits at the keeper, and would do so for about that time. */
 void
-comet_placement_expected(struct comet_placement *placement, struct comet_placement_item *item,
-	uint64_t expected_us, uint64_t now_us);
+comet_placement_set_expected_wait(struct comet_placement *placement,
+	struct comet_placement_item *item, uint64_t expected_us, uint64_t now_us);
 
 /** It has waited at the keeper for as long as it was to, and no slot came free for it. */
 void
-comet_placement_waited(
+comet_placement_wait_expired(
 	struct comet_placement *placement, struct comet_placement_item *item, uint64_t now_us);
 
 /** The keeper did not answer. */
@@ -68,19 +68,21 @@
 
 /** A request of ours has left a slot. */
 void
-comet_placement_freed(struct comet_placement *placement, const struct comet_instance *instance);
+comet_placement_slot_released(
+	struct comet_placement *placement, const struct comet_instance *instance);
 
 /**
  * Chooses, as keeper, for a request of another VM.
  * @return NULL when nothing has room
  */
 struct comet_instance *
-comet_placement_choose_for(struct comet_placement *placement, const struct comet_placement_ask *ask,
-	uint64_t now_us, struct comet_placement_wait *wait);
+comet_placement_choose_remote(struct comet_placement *placement,
+	const struct comet_slot_request *ask, uint64_t now_us,
+	struct comet_placement_wait_estimate *wait);
 
 /** @return whether there is an instance that the item was not sent to yet. */
 bool
-comet_placement_has_other(
+comet_placement_has_untried(
 	const struct comet_placement *placement, const struct comet_placement_item *item);
 
 /** @return whether the endpoints of the item's service are all in evacuated zones. */
@@ -88,7 +90,7 @@
 comet_placement_is_evacuated(
 	const struct comet_placement *placement, const struct comet_placement_item *item);
 
-const struct comet_placement_reason *
-comet_placement_reason(const struct comet_placement *placement);
+const struct comet_placement_decision *
+comet_placement_decision(const struct comet_placement *placement);
 
 #endif
--- a/libcometspindle/gateway/placement/placement_find.c
+++ b/libcometspindle/gateway/placement/placement_find.c
@@ -5,16 +5,17 @@
 #include <libcometspindle/gateway/placement/placement_state.h>
 
 struct comet_instance *
-comet_placement_choose_by_views(
+comet_placement_choose_by_gossip(
 	struct comet_placement *placement, const struct comet_placement_item *item, uint64_t now_us)
 {
-	struct comet_choice_scope scope = {
-		.among = comet_instances_of(placement->instances, item->service),
-		.beyond = comet_choice_beyond(item),
-		.cold_share = placement->lone_share,
+	struct comet_endpoint_picker_scope scope = {
+		.among = comet_instances_for_service(placement->instances, item->service),
+		.beyond = comet_endpoint_picker_queue_limit(item),
+		.cold_share = placement->ownerless_share,
 	};
 
-	return comet_choice_best(&placement->choice, item, &scope, now_us, &placement->reason);
+	return comet_endpoint_picker_pick(
+		&placement->choice, item, &scope, now_us, &placement->reason);
 }
 
 /* A request waits at one keeper for this time, then at another: long enough for several slots to
@@ -27,8 +28,8 @@
 ask_keeper(struct comet_placement *placement, struct comet_placement_item *item,
 	struct comet_shard *shard, uint32_t beyond, uint64_t wait_us, uint64_t now_us)
 {
-	uint32_t except[COMET_PLACEMENT_EXCEPT_MAX];
-	struct comet_placement_ask ask = {
+	uint32_t except[COMET_SLOT_REQUEST_EXCEPT_MAX];
+	struct comet_slot_request ask = {
 		.shard = shard->id,
 		.beyond = beyond,
 		.except = except,
@@ -37,7 +38,7 @@
 		.route_rank = item->route_rank,
 		.late = item->late,
 		.end_us = item->end_us,
-		.aim_us = item->aim_us,
+		.soft_deadline_us = item->soft_deadline_us,
 		.wait_us = wait_us,
 	};
 	uint32_t usable = 0;
@@ -45,7 +46,7 @@
 	for (guint i = 0; i < shard->members->len; i++)
 	{
 		const struct comet_instance *instance = shard->members->pdata[i];
-		if (comet_choice_is_usable(item, instance, now_us))
+		if (comet_endpoint_picker_is_usable(item, instance, now_us))
 			usable++;
 		else if (ask.n_except < G_N_ELEMENTS(except))
 			except[ask.n_except++] = instance->key;
@@ -61,22 +62,22 @@
 struct shard_prospect
 {
 	struct comet_shard *shard;
-	enum comet_placement_keeper keeper;
+	enum comet_placement_owner keeper;
 	struct comet_instance *best; /* by what this VM knows; NULL: nothing has room */
-	struct comet_placement_reason reason;
+	struct comet_placement_decision reason;
 };
 
 /* The part of what cold endpoints of a shard bear that this VM decides on. */
 static double
-cold_share_of(const struct comet_placement *placement, enum comet_placement_keeper keeper)
+cold_share_of(const struct comet_placement *placement, enum comet_placement_owner keeper)
 {
 	switch (keeper)
 	{
-	case COMET_PLACEMENT_KEEPER_SELF:
+	case COMET_PLACEMENT_OWNER_SELF:
 		return placement->owner_share;
-	case COMET_PLACEMENT_KEEPER_NONE:
-		return placement->lone_share;
-	case COMET_PLACEMENT_KEEPER_OTHER:
+	case COMET_PLACEMENT_OWNER_NONE:
+		return placement->ownerless_share;
+	case COMET_PLACEMENT_OWNER_OTHER:
 		break;
 	}
 	return 0;
@@ -90,15 +91,15 @@
 		.shard = shard,
 		.keeper = placement->ops->keeper(placement->ctx, shard),
 	};
-	struct comet_choice_scope scope = {
+	struct comet_endpoint_picker_scope scope = {
 		.among = shard->members,
 		.beyond = beyond,
-		.kept = prospect.keeper == COMET_PLACEMENT_KEEPER_SELF,
+		.kept = prospect.keeper == COMET_PLACEMENT_OWNER_SELF,
 		.cold_share = cold_share_of(placement, prospect.keeper),
 	};
 
-	prospect.best =
-		comet_choice_best(&placement->choice, item, &scope, now_us, &prospect.reason);
+	prospect.best = comet_endpoint_picker_pick(
+		&placement->choice, item, &scope, now_us, &prospect.reason);
 	return prospect;
 }
 
@@ -108,7 +109,7 @@
 use(struct comet_placement *placement, struct comet_placement_item *item,
 	const struct shard_prospect *prospect, uint32_t beyond, uint64_t now_us)
 {
-	if (prospect->keeper == COMET_PLACEMENT_KEEPER_OTHER)
+	if (prospect->keeper == COMET_PLACEMENT_OWNER_OTHER)
 	{
 		ask_keeper(placement, item, prospect->shard, beyond, 0, now_us);
 		return NULL;
@@ -123,7 +124,7 @@
 find_at_level(struct comet_placement *placement, struct comet_placement_item *item,
 	const GPtrArray *shards, uint32_t beyond, bool here, uint64_t now_us)
 {
-	uint32_t turn = comet_draw_u32(&placement->choice.draw);
+	uint32_t turn = comet_random_u32(&placement->choice.draw);
 	struct shard_prospect cheapest = {0};
 	struct shard_prospect full = {0};
 
@@ -133,12 +134,12 @@
 		if (now_us < shard->denied_us[beyond])
 			continue;
 		struct shard_prospect prospect = look_at(placement, item, shard, beyond, now_us);
-		if (here && prospect.keeper == COMET_PLACEMENT_KEEPER_OTHER)
+		if (here && prospect.keeper == COMET_PLACEMENT_OWNER_OTHER)
 			continue;
 		if (prospect.best == NULL)
 		{
 			item->held = item->held || prospect.reason.held;
-			if (prospect.keeper == COMET_PLACEMENT_KEEPER_OTHER &&
+			if (prospect.keeper == COMET_PLACEMENT_OWNER_OTHER &&
 				prospect.reason.candidates > 0)
 				full = prospect;
 			continue;
@@ -156,14 +157,14 @@
 wait_at_keeper(struct comet_placement *placement, struct comet_placement_item *item,
 	const GPtrArray *shards, uint64_t now_us)
 {
-	uint32_t turn = comet_draw_u32(&placement->choice.draw);
+	uint32_t turn = comet_random_u32(&placement->choice.draw);
 
 	for (guint i = 0; i < shards->len && !item->asking; i++)
 	{
 		struct comet_shard *shard = shards->pdata[(i + turn) % shards->len];
-		if (placement->ops->keeper(placement->ctx, shard) == COMET_PLACEMENT_KEEPER_OTHER)
-			ask_keeper(
-				placement, item, shard, comet_choice_beyond(item), WAIT_US, now_us);
+		if (placement->ops->keeper(placement->ctx, shard) == COMET_PLACEMENT_OWNER_OTHER)
+			ask_keeper(placement, item, shard, comet_endpoint_picker_queue_limit(item),
+				WAIT_US, now_us);
 	}
 }
 
@@ -173,7 +174,7 @@
 {
 	if (placement->ops->keeper == NULL)
 		return NULL;
-	return comet_shards_of(placement->shards, item->service);
+	return comet_shards_for_service(placement->shards, item->service);
 }
 
 static struct comet_instance *
@@ -186,11 +187,11 @@
 	item->held = false;
 	if (shards == NULL)
 	{
-		found = comet_placement_choose_by_views(placement, item, now_us);
+		found = comet_placement_choose_by_gossip(placement, item, now_us);
 		item->held = placement->reason.held;
 		return found;
 	}
-	for (uint32_t beyond = 0; beyond <= comet_choice_beyond(item); beyond++)
+	for (uint32_t beyond = 0; beyond <= comet_endpoint_picker_queue_limit(item); beyond++)
 	{
 		bool asked = item->asking;
 		found = find_at_level(placement, item, shards, beyond, here, now_us);
@@ -213,7 +214,7 @@
 }
 
 struct comet_instance *
-comet_placement_find_here(
+comet_placement_find_local(
 	struct comet_placement *placement, struct comet_placement_item *item, uint64_t now_us)
 {
 	return find(placement, item, true, now_us);
--- a/libcometspindle/gateway/placement/placement_queue.c
+++ b/libcometspindle/gateway/placement/placement_queue.c
@@ -20,7 +20,7 @@
 	struct comet_placement_queue *queue = data;
 
 	g_sequence_free(queue->items);
-	g_sequence_free(queue->guests);
+	g_sequence_free(queue->remote_waiters);
 	g_free(queue->service);
 	g_free(queue);
 }
@@ -41,16 +41,17 @@
 		queue = g_new0(struct comet_placement_queue, 1);
 		queue->service = g_strdup(service);
 		queue->items = g_sequence_new(NULL);
-		queue->guests = g_sequence_new(g_free);
+		queue->remote_waiters = g_sequence_new(g_free);
 		g_hash_table_insert(placement->queues, queue->service, queue);
 	}
 	return queue;
 }
 
 bool
-comet_placement_anything_waits(const struct comet_placement_queue *queue)
+comet_placement_has_waiting(const struct comet_placement_queue *queue)
 {
-	return g_sequence_get_length(queue->items) > 0 || g_sequence_get_length(queue->guests) > 0;
+	return g_sequence_get_length(queue->items) > 0 ||
+	       g_sequence_get_length(queue->remote_waiters) > 0;
 }
 
 gint
@@ -77,30 +78,30 @@
 	return item->team_rank + item->route_rank;
 }
 
-struct comet_flow *
-comet_placement_flow_of(
+struct comet_dequeue_rate *
+comet_placement_dequeue_rate(
 	struct comet_placement_queue *queue, const struct comet_placement_item *item)
 {
 	uint32_t rank = MIN(comet_placement_rank(item), COMET_PLACEMENT_RANKS - 1);
 
-	return &queue->flows[rank][item->late ? 1 : 0];
+	return &queue->dequeue_rates[rank][item->late ? 1 : 0];
 }
 
 void
 comet_placement_enqueue(
 	struct comet_placement_queue *queue, struct comet_placement_item *item, uint64_t now_us)
 {
-	comet_flow_enter(comet_placement_flow_of(queue, item), now_us);
+	comet_dequeue_rate_enqueued(comet_placement_dequeue_rate(queue, item), now_us);
 	item->queued = true;
 	item->place = g_sequence_insert_sorted(queue->items, item, comet_placement_compare, NULL);
 }
 
 void
-comet_placement_take_out(struct comet_placement *placement, struct comet_placement_item *item)
+comet_placement_dequeue(struct comet_placement *placement, struct comet_placement_item *item)
 {
 	struct comet_placement_queue *queue = comet_placement_queue_of(placement, item->service);
 
-	comet_flow_leave(comet_placement_flow_of(queue, item));
+	comet_dequeue_rate_removed(comet_placement_dequeue_rate(queue, item));
 	g_sequence_remove(item->place);
 	item->place = NULL;
 }
@@ -109,8 +110,8 @@
 static double
 slot_interval_us(struct comet_placement *placement, const char *service, uint64_t now_us)
 {
-	const GPtrArray *all = comet_instances_of(placement->instances, service);
-	double usual_us = (double)comet_instances_usual_us(placement->instances, service);
+	const GPtrArray *all = comet_instances_for_service(placement->instances, service);
+	double usual_us = (double)comet_instances_typical_slot_us(placement->instances, service);
 	double per_us = 0;
 	double own = 0;
 	double load = 0;
@@ -119,7 +120,7 @@
 	{
 		const struct comet_instance *instance = all->pdata[i];
 		if (instance->draining || instance->evacuated || instance->replaced ||
-			instance->avoid_us > now_us)
+			instance->ejected_until_us > now_us)
 			continue;
 		per_us += instance->slots / (usual_us * instance->pace);
 		own += instance->own;
@@ -142,7 +143,8 @@
 	GSequenceIter *at = g_sequence_search(queue->items, &probe, comet_placement_compare, NULL);
 	int ahead = g_sequence_iter_get_position(at);
 	double by_slots = (ahead + 1) * slot_interval_us(placement, item->service, now_us);
-	double by_pace = comet_flow_wait_us(comet_placement_flow_of(queue, item), now_us);
+	double by_pace = comet_dequeue_rate_expected_wait_us(
+		comet_placement_dequeue_rate(queue, item), now_us);
 	return (uint64_t)MAX(by_slots, by_pace);
 }
 
@@ -151,9 +153,9 @@
 	const struct comet_placement_item *item, uint64_t wait_us, uint64_t now_us)
 {
 	uint64_t first_us =
-		comet_instances_usual_first_us(placement->instances, item->service, &item->job);
+		comet_instances_typical_first_us(placement->instances, item->service, &item->job);
 
-	return item->aim_us != 0 && now_us + wait_us + first_us > item->aim_us;
+	return item->soft_deadline_us != 0 && now_us + wait_us + first_us > item->soft_deadline_us;
 }
 
 void
--- a/libcometspindle/gateway/placement/placement_state.h
+++ b/libcometspindle/gateway/placement/placement_state.h
@@ -5,8 +5,8 @@
 #ifndef COMETSPINDLE_GATEWAY_PLACEMENT_STATE_H
 #define COMETSPINDLE_GATEWAY_PLACEMENT_STATE_H
 
-#include <libcometspindle/gateway/placement/choice.h>
-#include <libcometspindle/gateway/placement/flow.h>
+#include <libcometspindle/gateway/placement/endpoint_picker.h>
+#include <libcometspindle/gateway/placement/dequeue_rate.h>
 #include <libcometspindle/gateway/placement/placement_queue.h>
 
 /** Ranks whose pace in the queue is told apart; those below share the last. */
@@ -16,34 +16,35 @@
 struct comet_placement_queue
 {
 	char *service;
-	GSequence *items;  /**< of struct comet_placement_item, in order of rank */
-	GSequence *guests; /**< of struct comet_placement_guest, in the same order */
-	uint64_t aged_us;  /**< when it was last looked at what is late */
+	GSequence *items; /**< of struct comet_placement_item, in order of rank */
+	GSequence
+		*remote_waiters; /**< of struct comet_placement_remote_waiter, in the same order */
+	uint64_t aged_us;        /**< when it was last looked at what is late */
 	/** Of those that can be in time, and of the late. */
-	struct comet_flow flows[COMET_PLACEMENT_RANKS][2];
+	struct comet_dequeue_rate dequeue_rates[COMET_PLACEMENT_RANKS][2];
 	/** Of guests, by rank. */
-	struct comet_flow guest_flows[COMET_PLACEMENT_RANKS];
+	struct comet_dequeue_rate remote_dequeue_rates[COMET_PLACEMENT_RANKS];
 };
 
 /** A request of another VM that waits here for a slot this VM keeps count of. */
-struct comet_placement_guest
+struct comet_placement_remote_waiter
 {
 	struct comet_placement_item item; /**< first member: guests are ordered like items */
-	struct comet_placement_ask ask;
-	uint32_t except[COMET_PLACEMENT_EXCEPT_MAX]; /**< what ask.except points at */
+	struct comet_slot_request ask;
+	uint32_t except[COMET_SLOT_REQUEST_EXCEPT_MAX]; /**< what ask.except points at */
 };
 
 struct comet_placement
 {
 	struct comet_instances *instances;
 	struct comet_shards *shards;
-	struct comet_choice choice;
-	double owner_share; /* of what a cold endpoint bears: where this VM keeps count of it */
-	double lone_share;  /* and where none does, or none answers */
+	struct comet_endpoint_picker choice;
+	double owner_share;     /* of what a cold endpoint bears: where this VM keeps count of it */
+	double ownerless_share; /* and where none does, or none answers */
 	const struct comet_placement_ops *ops;
 	void *ctx;
 	GHashTable *queues; /* service -> struct comet_placement_queue */
-	struct comet_placement_reason reason;
+	struct comet_placement_decision reason;
 	uint32_t asking; /* requests that await a keeper's answer */
 	uint64_t next_order;
 	uint64_t pass; /* number of the last pass over a queue */
@@ -61,7 +62,7 @@
 
 /** Does anything wait there, of this VM or of others? */
 bool
-comet_placement_anything_waits(const struct comet_placement_queue *queue);
+comet_placement_has_waiting(const struct comet_placement_queue *queue);
 
 /** The order in which items are served; either may be the item of a guest. */
 gint
@@ -74,10 +75,10 @@
 
 /** Takes an item out of its queue. */
 void
-comet_placement_take_out(struct comet_placement *placement, struct comet_placement_item *item);
+comet_placement_dequeue(struct comet_placement *placement, struct comet_placement_item *item);
 
-struct comet_flow *
-comet_placement_flow_of(
+struct comet_dequeue_rate *
+comet_placement_dequeue_rate(
 	struct comet_placement_queue *queue, const struct comet_placement_item *item);
 
 /** Can an answer that is begun after wait_us not be in time any more? */
@@ -89,7 +90,7 @@
 
 /** Chooses by views among all of a service's endpoints. */
 struct comet_instance *
-comet_placement_choose_by_views(struct comet_placement *placement,
+comet_placement_choose_by_gossip(struct comet_placement *placement,
 	const struct comet_placement_item *item, uint64_t now_us);
 
 /**
@@ -103,7 +104,7 @@
 
 /** The same among the shards that this VM may choose in by itself. */
 struct comet_instance *
-comet_placement_find_here(
+comet_placement_find_local(
 	struct comet_placement *placement, struct comet_placement_item *item, uint64_t now_us);
 
 /* placement_guests.c */
@@ -114,17 +115,18 @@
  * to be run
  */
 struct comet_instance *
-comet_placement_admit_guest(struct comet_placement *placement,
-	const struct comet_placement_ask *ask, uint64_t now_us, struct comet_placement_wait *wait);
+comet_placement_admit_remote_waiter(struct comet_placement *placement,
+	const struct comet_slot_request *ask, uint64_t now_us,
+	struct comet_placement_wait_estimate *wait);
 
 /** Drops guests whose time is over, and puts late ones behind. */
 void
-comet_placement_age_guests(
+comet_placement_expire_remote_waiters(
 	struct comet_placement *placement, struct comet_placement_queue *queue, uint64_t now_us);
 
 /** Grants a guest a slot if there is one, and lets it go. */
 void
-comet_placement_offer(
-	struct comet_placement *placement, struct comet_placement_guest *guest, uint64_t now_us);
+comet_placement_grant_remote_waiter(struct comet_placement *placement,
+	struct comet_placement_remote_waiter *remote_waiter, uint64_t now_us);
 
 #endif
--- a/libcometspindle/gateway/placement/shards.c
+++ b/libcometspindle/gateway/placement/shards.c
@@ -165,7 +165,7 @@
 }
 
 const GPtrArray *
-comet_shards_of(struct comet_shards *shards, const char *service)
+comet_shards_for_service(struct comet_shards *shards, const char *service)
 {
 	refresh(shards);
 	return g_hash_table_lookup(shards->services, service);
@@ -186,7 +186,7 @@
 }
 
 void
-comet_shard_freed(struct comet_shard *shard)
+comet_shard_slot_released(struct comet_shard *shard)
 {
 	memset(shard->denied_us, 0, sizeof shard->denied_us);
 }
--- a/libcometspindle/gateway/placement/shards.h
+++ b/libcometspindle/gateway/placement/shards.h
@@ -23,8 +23,9 @@
 	char *service;
 	uint32_t zone_id;   /**< comet_hash_name() of its zone */
 	GPtrArray *members; /**< of struct comet_instance */
-	uint32_t keeper; /**< address of the VM that keeps count, as found at keeper_us; 0: none */
-	uint64_t keeper_us;
+	uint32_t keeper; /**< address of the VM that keeps count, as found at owner_checked_us; 0:
+			    none */
+	uint64_t owner_checked_us;
 	/** By level: until then its keeper has no room; 0: not known. */
 	uint64_t denied_us[COMET_SHARD_LEVELS];
 	/** By level: pass over a queue in which it was found full, for its keeper. */
@@ -38,7 +39,7 @@
 
 /** The shards of a service; NULL when it has no endpoints. */
 const GPtrArray *
-comet_shards_of(struct comet_shards *shards, const char *service);
+comet_shards_for_service(struct comet_shards *shards, const char *service);
 
 /** @return the shard of an id, or NULL. */
 struct comet_shard *
@@ -50,6 +51,6 @@
 
 /** A slot has come free in it. */
 void
-comet_shard_freed(struct comet_shard *shard);
+comet_shard_slot_released(struct comet_shard *shard);
 
 #endif
--- a/libcometspindle/gateway/routing/routes.c
+++ b/libcometspindle/gateway/routing/routes.c
@@ -248,7 +248,7 @@
 }
 
 bool
-comet_route_repeatable(const struct comet_route *route)
+comet_route_is_retryable(const struct comet_route *route)
 {
 	return route->kind == COMET_ROUTE_SAFE ||
 	       (route->kind == COMET_ROUTE_STREAM && route->resumable);
--- a/libcometspindle/gateway/routing/routes.h
+++ b/libcometspindle/gateway/routing/routes.h
@@ -134,6 +134,6 @@
 
 /** @return whether a request on this route may be run a second time. */
 bool
-comet_route_repeatable(const struct comet_route *route);
+comet_route_is_retryable(const struct comet_route *route);
 
 #endif
--- a/libcometspindle/gateway/settings.c
+++ b/libcometspindle/gateway/settings.c
@@ -4,7 +4,7 @@
  */
 #include <libcometspindle/gateway/settings.h>
 
-#include <libcometspindle/check.h>
+#include <libcometspindle/json_validator.h>
 #include <libcometspindle/log.h>
 #include <string.h>
 #include <talloc.h>
@@ -29,49 +29,52 @@
 #define SETTLED_DEFAULT_MS 3000
 
 static char *
-read_text(struct comet_gateway_settings *settings, struct comet_check_object *object,
+read_text(struct comet_gateway_settings *settings, struct comet_json_validator_object *object,
 	const char *key, const char *fallback)
 {
-	return talloc_strdup(settings, comet_check_string(object, key, fallback));
+	return talloc_strdup(settings, comet_json_validator_string(object, key, fallback));
 }
 
 static uint32_t
-read_seconds(struct comet_check_object *object, const char *key, double fallback_s)
+read_seconds(struct comet_json_validator_object *object, const char *key, double fallback_s)
 {
-	return (uint32_t)(comet_check_number(object, key, 0.1, HOUR_S, fallback_s) * 1000);
+	return (uint32_t)(comet_json_validator_number(object, key, 0.1, HOUR_S, fallback_s) * 1000);
 }
 
 static void
-read_times(struct comet_gateway_settings *settings, struct comet_check_object *object)
+read_times(struct comet_gateway_settings *settings, struct comet_json_validator_object *object)
 {
 	settings->grace_ms = read_seconds(object, "grace_s", GRACE_DEFAULT_S);
-	settings->leave_ms = (uint32_t)comet_check_int(object, "leave_ms", 0, HOUR_MS, 2700);
-	settings->lapse_ms = (uint32_t)comet_check_int(object, "lapse_ms", 0, HOUR_MS, 2200);
-	settings->settled_ms =
-		(uint32_t)comet_check_int(object, "settled_ms", 0, HOUR_MS, SETTLED_DEFAULT_MS);
+	settings->leave_ms =
+		(uint32_t)comet_json_validator_int(object, "leave_ms", 0, HOUR_MS, 2700);
+	settings->lapse_ms =
+		(uint32_t)comet_json_validator_int(object, "lapse_ms", 0, HOUR_MS, 2200);
+	settings->settled_ms = (uint32_t)comet_json_validator_int(
+		object, "settled_ms", 0, HOUR_MS, SETTLED_DEFAULT_MS);
 }
 
 static void
-read_limits(struct comet_gateway_settings *settings, struct comet_check_object *object)
+read_limits(struct comet_gateway_settings *settings, struct comet_json_validator_object *object)
 {
-	struct comet_allowance_bounds *teams = &settings->allowance;
-	struct comet_retry_bounds *retries = &settings->retries;
+	struct comet_rate_limiter_config *teams = &settings->rate_limiter;
+	struct comet_retry_budget_config *retries = &settings->retries;
 
 	teams->window_ms = read_seconds(object, "team_window_s", TEAM_WINDOW_DEFAULT_S);
-	teams->overage = comet_check_number(object, "team_overage", 0, 100, 0.1);
-	teams->slack = comet_check_number(object, "team_slack", 0, 1e12, 0);
+	teams->overage = comet_json_validator_number(object, "team_overage", 0, 100, 0.1);
+	teams->slack = comet_json_validator_number(object, "team_slack", 0, 1e12, 0);
 	retries->window_ms = read_seconds(object, "retry_window_s", RETRY_WINDOW_DEFAULT_S);
-	retries->ratio = comet_check_number(object, "retry_ratio", 0, 100, 0.1);
-	retries->slack = (uint32_t)comet_check_number(object, "retry_slack", 0, 1e9, 20);
-	settings->cold_overage = comet_check_number(object, "cold_overage", 0, 1000, 0);
-	settings->cold_slack = comet_check_number(object, "cold_slack", 0, 1e9, 0);
+	retries->ratio = comet_json_validator_number(object, "retry_ratio", 0, 100, 0.1);
+	retries->slack = (uint32_t)comet_json_validator_number(object, "retry_slack", 0, 1e9, 20);
+	settings->cold_overage = comet_json_validator_number(object, "cold_overage", 0, 1000, 0);
+	settings->cold_slack = comet_json_validator_number(object, "cold_slack", 0, 1e9, 0);
 }
 
 static void
-read_gateway(struct comet_gateway_settings *settings, struct comet_check *check,
+read_gateway(struct comet_gateway_settings *settings, struct comet_json_validator *check,
 	struct json_object *root)
 {
-	struct comet_check_object *object = comet_check_object_begin(check, root, "gateway");
+	struct comet_json_validator_object *object =
+		comet_json_validator_object_begin(check, root, "gateway");
 
 	settings->name = read_text(settings, object, "name", NULL);
 	settings->zone = read_text(settings, object, "zone", NULL);
@@ -81,29 +84,29 @@
 	settings->peers = read_text(settings, object, "peers", NULL);
 	settings->seeds = read_text(settings, object, "seeds", "");
 	settings->directory = read_text(settings, object, "directory", NULL);
-	settings->near_bytes_per_s =
-		(uint32_t)comet_check_int(object, "near_bytes_per_s", 256, BYTES_MAX, 16384);
+	settings->near_bytes_per_s = (uint32_t)comet_json_validator_int(
+		object, "near_bytes_per_s", 256, BYTES_MAX, 16384);
 	settings->far_bytes_per_s =
-		(uint32_t)comet_check_int(object, "far_bytes_per_s", 256, BYTES_MAX, 8192);
+		(uint32_t)comet_json_validator_int(object, "far_bytes_per_s", 256, BYTES_MAX, 8192);
 	settings->cpu_percent =
-		(uint32_t)(comet_check_number(object, "cpu_share", 0, CORES_MAX, 1) * 100);
-	settings->ask_keepers = comet_check_bool(object, "ask_keepers", true);
+		(uint32_t)(comet_json_validator_number(object, "cpu_share", 0, CORES_MAX, 1) * 100);
+	settings->ask_keepers = comet_json_validator_bool(object, "ask_keepers", true);
 	read_times(settings, object);
-	settings->log_lines_per_s = (uint32_t)comet_check_int(
+	settings->log_lines_per_s = (uint32_t)comet_json_validator_int(
 		object, "log_lines_per_s", 0, LOG_LINES_MAX, LOG_LINES_DEFAULT);
 	settings->log_level =
-		comet_log_level_parse(comet_check_string(object, "log_level", "info"));
+		comet_log_level_parse(comet_json_validator_string(object, "log_level", "info"));
 	if (settings->log_level < 0)
-		comet_check_fault(check, "gateway.log_level",
+		comet_json_validator_fault(check, "gateway.log_level",
 			"must be one of err, warning, notice, info, debug");
 	read_limits(settings, object);
-	comet_check_object_end(object);
+	comet_json_validator_object_end(object);
 }
 
 bool
 comet_gateway_settings_match(const char *text, size_t length)
 {
-	struct json_object *root = comet_check_parse(text, length, NULL);
+	struct json_object *root = comet_json_validator_parse(text, length, NULL);
 	bool found = root != NULL && json_object_object_get_ex(root, "gateway", NULL);
 
 	json_object_put(root);
@@ -113,18 +116,19 @@
 struct comet_gateway_settings *
 comet_gateway_settings_parse(const char *text, size_t length, GError **error)
 {
-	struct json_object *root = comet_check_parse(text, length, error);
+	struct json_object *root = comet_json_validator_parse(text, length, error);
 
 	if (root == NULL)
 		return NULL;
 	struct comet_gateway_settings *settings = talloc_zero(NULL, struct comet_gateway_settings);
-	struct comet_check *check = comet_check_create();
-	struct comet_check_object *object = comet_check_object_begin(check, root, "");
-	read_gateway(settings, check, comet_check_member(object, "gateway", true));
-	comet_check_object_end(object);
-	if (!comet_check_finish(check, error))
+	struct comet_json_validator *check = comet_json_validator_create();
+	struct comet_json_validator_object *object =
+		comet_json_validator_object_begin(check, root, "");
+	read_gateway(settings, check, comet_json_validator_member(object, "gateway", true));
+	comet_json_validator_object_end(object);
+	if (!comet_json_validator_finish(check, error))
 		TALLOC_FREE(settings);
-	comet_check_destroy(check);
+	comet_json_validator_destroy(check);
 	json_object_put(root);
 	return settings;
 }
--- a/libcometspindle/gateway/settings.h
+++ b/libcometspindle/gateway/settings.h
@@ -6,7 +6,7 @@
 #define COMETSPINDLE_GATEWAY_SETTINGS_H
 
 #include <glib.h>
-#include <libcometspindle/gateway/admission/allowance.h>
+#include <libcometspindle/gateway/admission/rate_limiter.h>
 #include <libcometspindle/gateway/admission/retry_budget.h>
 #include <stdbool.h>
 #include <stdint.h>
@@ -29,8 +29,8 @@
 	uint32_t far_bytes_per_s;  /**< most that is sent to VMs of other zones */
 	uint32_t cpu_percent;      /**< of a core that this VM may use */
 	bool ask_keepers; /**< slots are asked for at the VM that counts; else views have to do */
-	struct comet_allowance_bounds allowance;
-	struct comet_retry_bounds retries;
+	struct comet_rate_limiter_config rate_limiter;
+	struct comet_retry_budget_config retries;
 	double cold_overage; /**< times what a cold endpoint bears that it may receive, of all VMs
 			      * together; 0: not bounded */
 	double cold_slack;   /**< and so many requests a second more */
--- a/libcometspindle/check.c
+++ b/libcometspindle/json_validator.c
@@ -1,8 +1,8 @@
 /*
- * check.c
+ * json_validator.c
  * reads JSON objects field by field and collects every fault with its path
  */
-#include <libcometspindle/check.h>
+#include <libcometspindle/json_validator.h>
 
 #include <libcometspindle/error.h>
 #include <stdarg.h>
@@ -11,38 +11,39 @@
 /* Deeper documents are refused by the tokener. */
 #define NESTING_MAX 16
 
-struct comet_check
+struct comet_json_validator
 {
 	GString *faults;
 	unsigned int count;
 };
 
-struct comet_check_object
+struct comet_json_validator_object
 {
-	struct comet_check *check;
+	struct comet_json_validator *check;
 	struct json_object *value; /* NULL when it was not an object */
 	char *path;
 	GHashTable *known;
 };
 
-struct comet_check *
-comet_check_create(void)
+struct comet_json_validator *
+comet_json_validator_create(void)
 {
-	struct comet_check *check = g_new0(struct comet_check, 1);
+	struct comet_json_validator *check = g_new0(struct comet_json_validator, 1);
 
 	check->faults = g_string_new(NULL);
 	return check;
 }
 
 void
-comet_check_destroy(struct comet_check *check)
+comet_json_validator_destroy(struct comet_json_validator *check)
 {
 	g_string_free(check->faults, TRUE);
 	g_free(check);
 }
 
 void
-comet_check_fault(struct comet_check *check, const char *path, const char *format, ...)
+comet_json_validator_fault(
+	struct comet_json_validator *check, const char *path, const char *format, ...)
 {
 	va_list args;
 
@@ -55,7 +56,7 @@
 }
 
 bool
-comet_check_finish(struct comet_check *check, GError **error)
+comet_json_validator_finish(struct comet_json_validator *check, GError **error)
 {
 	if (check->count == 0)
 		return true;
@@ -64,7 +65,7 @@
 }
 
 struct json_object *
-comet_check_parse(const char *text, size_t length, GError **error)
+comet_json_validator_parse(const char *text, size_t length, GError **error)
 {
 	struct json_tokener *tokener = json_tokener_new_ex(NESTING_MAX);
 	struct json_object *root = NULL;
@@ -95,10 +96,11 @@
 	return root;
 }
 
-struct comet_check_object *
-comet_check_object_begin(struct comet_check *check, struct json_object *value, const char *path)
+struct comet_json_validator_object *
+comet_json_validator_object_begin(
+	struct comet_json_validator *check, struct json_object *value, const char *path)
 {
-	struct comet_check_object *object = g_new0(struct comet_check_object, 1);
+	struct comet_json_validator_object *object = g_new0(struct comet_json_validator_object, 1);
 
 	object->check = check;
 	object->path = g_strdup(path);
@@ -106,12 +108,12 @@
 	if (json_object_is_type(value, json_type_object))
 		object->value = value;
 	else
-		comet_check_fault(check, path, "must be an object");
+		comet_json_validator_fault(check, path, "must be an object");
 	return object;
 }
 
 void
-comet_check_object_end(struct comet_check_object *object)
+comet_json_validator_object_end(struct comet_json_validator_object *object)
 {
 	if (object->value != NULL)
 	{
@@ -119,7 +121,7 @@
 		{
 			(void)unused;
 			if (!g_hash_table_contains(object->known, key))
-				comet_check_fault(
+				comet_json_validator_fault(
 					object->check, object->path, "unknown key \"%s\"", key);
 		}
 	}
@@ -129,24 +131,24 @@
 }
 
 const char *
-comet_check_object_path(const struct comet_check_object *object)
+comet_json_validator_object_path(const struct comet_json_validator_object *object)
 {
 	return object->path;
 }
 
 static void
-fault_at(struct comet_check_object *object, const char *key, const char *rule)
+fault_at(struct comet_json_validator_object *object, const char *key, const char *rule)
 {
 	char *path = object->path[0] != '\0' ? g_strdup_printf("%s.%s", object->path, key)
 					     : g_strdup(key);
 
-	comet_check_fault(object->check, path, "%s", rule);
+	comet_json_validator_fault(object->check, path, "%s", rule);
 	g_free(path);
 }
 
 static struct json_object *
-find(struct comet_check_object *object, const char *key, enum json_type type, bool required,
-	const char *rule)
+find(struct comet_json_validator_object *object, const char *key, enum json_type type,
+	bool required, const char *rule)
 {
 	struct json_object *value = NULL;
 
@@ -168,7 +170,8 @@
 }
 
 const char *
-comet_check_string(struct comet_check_object *object, const char *key, const char *fallback)
+comet_json_validator_string(
+	struct comet_json_validator_object *object, const char *key, const char *fallback)
 {
 	struct json_object *value =
 		find(object, key, json_type_string, fallback == NULL, "must be a string");
@@ -181,8 +184,8 @@
 }
 
 int64_t
-comet_check_int(struct comet_check_object *object, const char *key, int64_t min, int64_t max,
-	int64_t fallback)
+comet_json_validator_int(struct comet_json_validator_object *object, const char *key, int64_t min,
+	int64_t max, int64_t fallback)
 {
 	struct json_object *value =
 		find(object, key, json_type_int, fallback < 0, "must be a whole number");
@@ -205,8 +208,8 @@
 }
 
 double
-comet_check_number(
-	struct comet_check_object *object, const char *key, double min, double max, double fallback)
+comet_json_validator_number(struct comet_json_validator_object *object, const char *key, double min,
+	double max, double fallback)
 {
 	struct json_object *value = NULL;
 	char rule[96];
@@ -227,7 +230,8 @@
 }
 
 bool
-comet_check_bool(struct comet_check_object *object, const char *key, bool fallback)
+comet_json_validator_bool(
+	struct comet_json_validator_object *object, const char *key, bool fallback)
 {
 	struct json_object *value =
 		find(object, key, json_type_boolean, false, "must be true or false");
@@ -236,13 +240,15 @@
 }
 
 struct json_object *
-comet_check_array(struct comet_check_object *object, const char *key, bool required)
+comet_json_validator_array(
+	struct comet_json_validator_object *object, const char *key, bool required)
 {
 	return find(object, key, json_type_array, required, "must be an array");
 }
 
 struct json_object *
-comet_check_member(struct comet_check_object *object, const char *key, bool required)
+comet_json_validator_member(
+	struct comet_json_validator_object *object, const char *key, bool required)
 {
 	return find(object, key, json_type_object, required, "must be an object");
 }
--- a/libcometspindle/floor.c
+++ b/libcometspindle/load_shedding.c
@@ -1,8 +1,8 @@
 /*
- * floor.c
+ * load_shedding.c
  * shedding in tier order across VMs, by promises that ride on heartbeats
  */
-#include <libcometspindle/floor.h>
+#include <libcometspindle/load_shedding.h>
 
 #include <libcometspindle/log.h>
 
@@ -12,7 +12,7 @@
 #define JOIN_PATIENCE_US 5000000ULL
 
 void
-comet_floor_init(struct comet_floor *floor, uint32_t n_tiers)
+comet_load_shedding_init(struct comet_load_shedding *floor, uint32_t n_tiers)
 {
 	floor->n_tiers = n_tiers;
 	floor->keep_below = 1;
@@ -27,7 +27,7 @@
 }
 
 void
-comet_floor_press(struct comet_floor *floor, uint32_t tier, uint64_t now_us)
+comet_load_shedding_request(struct comet_load_shedding *floor, uint32_t tier, uint64_t now_us)
 {
 	uint32_t want = tier > 1 ? tier : 1; /* tier 0 is never asked to go */
 
@@ -39,7 +39,8 @@
 static bool
 promise_fresh(const struct comet_member *member, uint64_t now_us)
 {
-	return member->promise_us != 0 && now_us - member->promise_us < COMET_FLOOR_HOLD_US;
+	return member->promise_us != 0 &&
+	       now_us - member->promise_us < COMET_LOAD_SHEDDING_PROMISE_US;
 }
 
 /*
@@ -47,7 +48,8 @@
  * that is stale for hours would keep every new VM out.
  */
 static bool
-given_up(const struct comet_floor *floor, const struct comet_member *member, uint64_t now_us)
+given_up(
+	const struct comet_load_shedding *floor, const struct comet_member *member, uint64_t now_us)
 {
 	return !floor->joined && member->promise_us == 0 &&
 	       now_us - floor->started_us > JOIN_PATIENCE_US;
@@ -63,8 +65,8 @@
 };
 
 static void
-look_at_others(const struct comet_floor *floor, struct comet_member *const *members, size_t count,
-	uint64_t now_us, struct others *others)
+look_at_others(const struct comet_load_shedding *floor, struct comet_member *const *members,
+	size_t count, uint64_t now_us, struct others *others)
 {
 	others->keep_below_max = 0;
 	others->shed_from_min = floor->n_tiers - 1;
@@ -93,13 +95,13 @@
 }
 
 static bool
-held(const struct comet_floor *floor, uint64_t now_us)
+held(const struct comet_load_shedding *floor, uint64_t now_us)
 {
-	return now_us - floor->announced_us >= COMET_FLOOR_HOLD_US;
+	return now_us - floor->announced_us >= COMET_LOAD_SHEDDING_PROMISE_US;
 }
 
 static void
-log_floor(const struct comet_floor *floor)
+log_floor(const struct comet_load_shedding *floor)
 {
 	comet_log(COMET_LOG_NOTICE, "event=floor keep_below=%u shed_from=%u want=%u",
 		floor->keep_below, floor->shed_from, floor->want);
@@ -107,7 +109,7 @@
 
 /* Keeping less is always allowed as far as this VM may shed. */
 static void
-lower_keep(struct comet_floor *floor, uint32_t want)
+lower_keep(struct comet_load_shedding *floor, uint32_t want)
 {
 	uint32_t target = want > floor->shed_from ? want : floor->shed_from;
 
@@ -119,7 +121,8 @@
 }
 
 static void
-lower_shed(struct comet_floor *floor, uint32_t want, const struct others *others, uint64_t now_us)
+lower_shed(struct comet_load_shedding *floor, uint32_t want, const struct others *others,
+	uint64_t now_us)
 {
 	uint32_t next = floor->shed_from - 1;
 
@@ -144,7 +147,7 @@
 
 /* Keeping more needs every other VM's word that it sheds nothing above what is kept. */
 static void
-raise_keep(struct comet_floor *floor, const struct others *others, uint64_t now_us)
+raise_keep(struct comet_load_shedding *floor, const struct others *others, uint64_t now_us)
 {
 	uint32_t target = others->shed_from_min + 1;
 
@@ -173,8 +176,8 @@
 }
 
 void
-comet_floor_tick(struct comet_floor *floor, struct comet_member *const *members, size_t count,
-	uint64_t now_us)
+comet_load_shedding_tick(struct comet_load_shedding *floor, struct comet_member *const *members,
+	size_t count, uint64_t now_us)
 {
 	struct others others;
 
--- a/libcometspindle/floor.h
+++ b/libcometspindle/load_shedding.h
@@ -1,27 +1,27 @@
 /*
- * floor.h
+ * load_shedding.h
  * shedding in tier order across VMs, by promises that ride on heartbeats
  *
  * Two numbers per VM. keep_below: it keeps no waiting request of this tier
  * or a lower one. shed_from: it sheds no request of a tier above this one.
  * (Tier 0 is the most urgent, so "lower" means a larger number.) A VM
- * announces a change, holds the old promise for COMET_FLOOR_HOLD_US more, and
+ * announces a change, holds the old promise for COMET_LOAD_SHEDDING_PROMISE_US more, and
  * acts only if every listed VM's fresh promise allows it. Hence no VM sheds a
  * tier while another keeps a lower one; a VM that cannot be heard blocks the
  * change, and requests wait. A VM that starts keeps only tier 0 until every
  * listed VM has answered it, and takes no requests before.
  */
-#ifndef COMETSPINDLE_FLOOR_H
-#define COMETSPINDLE_FLOOR_H
+#ifndef COMETSPINDLE_LOAD_SHEDDING_H
+#define COMETSPINDLE_LOAD_SHEDDING_H
 
 #include <libcometspindle/membership.h>
 #include <stdbool.h>
 #include <stdint.h>
 
 /** How long a promise is kept after it was last sent. */
-#define COMET_FLOOR_HOLD_US 1000000ULL
+#define COMET_LOAD_SHEDDING_PROMISE_US 1000000ULL
 
-struct comet_floor
+struct comet_load_shedding
 {
 	uint32_t n_tiers;
 	uint32_t keep_below;    /**< in force */
@@ -36,15 +36,15 @@
 };
 
 void
-comet_floor_init(struct comet_floor *floor, uint32_t n_tiers);
+comet_load_shedding_init(struct comet_load_shedding *floor, uint32_t n_tiers);
 
 /** This VM is full, and tier is the lowest it holds: asks the fleet to let it go. */
 void
-comet_floor_press(struct comet_floor *floor, uint32_t tier, uint64_t now_us);
+comet_load_shedding_request(struct comet_load_shedding *floor, uint32_t tier, uint64_t now_us);
 
 /** Moves the floor where the promises of all other listed VMs allow it. */
 void
-comet_floor_tick(struct comet_floor *floor, struct comet_member *const *members, size_t count,
-	uint64_t now_us);
+comet_load_shedding_tick(struct comet_load_shedding *floor, struct comet_member *const *members,
+	size_t count, uint64_t now_us);
 
 #endif
--- a/libcometspindle/log.c
+++ b/libcometspindle/log.c
@@ -125,7 +125,7 @@
 	bool taken = !repeated || comet_log_budget_take_repeated(&budget, text, now_us);
 	if (!taken || !comet_log_budget_take(&budget, level <= COMET_LOG_NOTICE, now_us) ||
 		!write_line(level, text))
-		comet_log_budget_leave_out(&budget, text);
+		comet_log_budget_suppress(&budget, text);
 	write_summary();
 	pthread_mutex_unlock(&budget_lock);
 }
--- a/libcometspindle/log_budget.c
+++ b/libcometspindle/log_budget.c
@@ -31,7 +31,7 @@
 }
 
 bool
-comet_log_budget_take(struct comet_log_budget *budget, bool weighty, uint64_t now_us)
+comet_log_budget_take(struct comet_log_budget *budget, bool important, uint64_t now_us)
 {
 	if (budget->lines_per_s <= 0)
 		return true;
@@ -39,7 +39,7 @@
 	if (budget->level > budget->lines_per_s)
 		budget->level = budget->lines_per_s;
 	budget->filled_us = now_us;
-	if (budget->level < (weighty ? 1.0 : 1.0 + KEPT_PART * budget->lines_per_s))
+	if (budget->level < (important ? 1.0 : 1.0 + KEPT_PART * budget->lines_per_s))
 		return false;
 	budget->level -= 1.0;
 	return true;
@@ -62,17 +62,17 @@
 	value[length] = '\0';
 }
 
-static struct comet_log_left_out *
+static struct comet_log_suppressed *
 kind_of(struct comet_log_budget *budget, const char *event)
 {
-	for (size_t i = 0; i < budget->n_left_out; i++)
+	for (size_t i = 0; i < budget->n_suppressed; i++)
 	{
-		if (strcmp(budget->left_out[i].event, event) == 0)
-			return &budget->left_out[i];
+		if (strcmp(budget->suppressed[i].event, event) == 0)
+			return &budget->suppressed[i];
 	}
-	if (budget->n_left_out == COMET_LOG_KINDS)
+	if (budget->n_suppressed == COMET_LOG_KINDS)
 		return NULL;
-	struct comet_log_left_out *kind = &budget->left_out[budget->n_left_out++];
+	struct comet_log_suppressed *kind = &budget->suppressed[budget->n_suppressed++];
 	memset(kind, 0, sizeof *kind);
 	snprintf(kind->event, sizeof kind->event, "%s", event);
 	return kind;
@@ -111,14 +111,14 @@
 }
 
 void
-comet_log_budget_leave_out(struct comet_log_budget *budget, const char *line)
+comet_log_budget_suppress(struct comet_log_budget *budget, const char *line)
 {
-	char event[sizeof budget->left_out[0].event];
+	char event[sizeof budget->suppressed[0].event];
 
 	copy_value(line, "event=", event, sizeof event);
-	if (event[0] == '\0' || budget->n_left_out + 1 >= COMET_LOG_KINDS)
+	if (event[0] == '\0' || budget->n_suppressed + 1 >= COMET_LOG_KINDS)
 		snprintf(event, sizeof event, OTHER_EVENT);
-	struct comet_log_left_out *kind = kind_of(budget, event);
+	struct comet_log_suppressed *kind = kind_of(budget, event);
 	if (kind == NULL)
 		return;
 	if (kind->sample[0] == '\0')
@@ -131,20 +131,20 @@
 {
 	size_t at = 0;
 
-	if (budget->n_left_out == 0 || now_us - budget->summed_us < SUMMARY_US)
+	if (budget->n_suppressed == 0 || now_us - budget->summed_us < SUMMARY_US)
 		return false;
 	at += (size_t)snprintf(line, size, "event=lines_left_out ms=%llu",
 		(unsigned long long)((now_us - budget->summed_us) / 1000));
-	for (size_t i = 0; i < budget->n_left_out && at < size; i++)
+	for (size_t i = 0; i < budget->n_suppressed && at < size; i++)
 	{
-		const struct comet_log_left_out *kind = &budget->left_out[i];
+		const struct comet_log_suppressed *kind = &budget->suppressed[i];
 		at += (size_t)snprintf(line + at, size - at, " %s=%llu", kind->event,
 			(unsigned long long)kind->count);
 		if (kind->sample[0] != '\0' && at < size)
 			at += (size_t)snprintf(
 				line + at, size - at, " %s_sample=%s", kind->event, kind->sample);
 	}
-	budget->n_left_out = 0;
+	budget->n_suppressed = 0;
 	budget->summed_us = now_us;
 	return true;
 }
