--- a/libcometspindle/log_budget.h
+++ b/libcometspindle/log_budget.h
@@ -16,7 +16,7 @@
 #define COMET_LOG_KINDS 16
 
 /** Lines of one event that were left out. */
-struct comet_log_left_out
+struct comet_log_suppressed
 {
 	char event[32];
 	char sample[64]; /**< id of one request among them; "" when none was named */
@@ -36,8 +36,8 @@
 	double level;       /**< lines that may be written now */
 	uint64_t filled_us;
 	uint64_t summed_us; /**< when what was left out was last told */
-	struct comet_log_left_out left_out[COMET_LOG_KINDS];
-	size_t n_left_out;
+	struct comet_log_suppressed suppressed[COMET_LOG_KINDS];
+	size_t n_suppressed;
 	struct comet_log_repeated repeated[COMET_LOG_KINDS];
 	size_t n_repeated;
 	uint64_t repeated_us; /**< start of the current second */
@@ -49,7 +49,7 @@
 
 /** May this line be written? weighty: it is about something that failed or changed. */
 bool
-comet_log_budget_take(struct comet_log_budget *budget, bool weighty, uint64_t now_us);
+comet_log_budget_take(struct comet_log_budget *budget, bool important, uint64_t now_us);
 
 /** May this line be written, of an event that peers report in large numbers? Each event has a few
  * lines a second. */
@@ -58,7 +58,7 @@
 
 /** This line was not written, whatever the reason. */
 void
-comet_log_budget_leave_out(struct comet_log_budget *budget, const char *line);
+comet_log_budget_suppress(struct comet_log_budget *budget, const char *line);
 
 /** Once a second: writes what was left out as one line. @return false when there is nothing. */
 bool
--- a/libcometspindle/membership.c
+++ b/libcometspindle/membership.c
@@ -340,7 +340,7 @@
 	if (member == NULL || rumor->incarnation < member->incarnation)
 		return;
 	bool newer = rumor->incarnation > member->incarnation;
-	bool fresh = member->heard_us != 0 && now_us - member->heard_us < PROBE_TIMEOUT_US;
+	bool fresh = member->last_seen_us != 0 && now_us - member->last_seen_us < PROBE_TIMEOUT_US;
 	member->incarnation = rumor->incarnation;
 	if (state == COMET_MEMBER_ALIVE && newer)
 	{
@@ -377,7 +377,7 @@
 	if (member == NULL || ping->incarnation < member->incarnation)
 		return;
 	member->incarnation = ping->incarnation;
-	member->heard_us = now_us;
+	member->last_seen_us = now_us;
 	member->bundle_version = ping->bundle_version;
 	if (ping->reply)
 		member->ping_sent_us = 0;
--- a/libcometspindle/membership.h
+++ b/libcometspindle/membership.h
@@ -44,7 +44,7 @@
 	bool listed;
 	enum comet_member_state state;
 	uint64_t incarnation;
-	uint64_t heard_us;     /**< last direct word from it; 0: never */
+	uint64_t last_seen_us; /**< last direct word from it; 0: never */
 	uint64_t ping_sent_us; /**< unanswered probe; 0: none */
 	uint64_t suspect_us;   /**< since when it is suspect */
 	uint64_t bundle_version;
--- a/libcometspindle/node/node.c
+++ b/libcometspindle/node/node.c
@@ -89,7 +89,7 @@
 		node, node->self_id, config->incarnation, &membership_ops, node);
 	node->claims = comet_claims_create(node, node->self_id, now.wall_ms);
 	node->quota = comet_quota_create(node);
-	comet_floor_init(&node->floor, COMET_TIERS_MAX);
+	comet_load_shedding_init(&node->floor, COMET_TIERS_MAX);
 	node->requests = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
 	node->outputs = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
 	node->reported = g_hash_table_new(g_direct_hash, g_direct_equal);
@@ -160,7 +160,7 @@
 	comet_membership_tick(node->members, now.mono_us);
 	members = comet_membership_all(node->members, &count);
 	if (node->bundle != NULL && node->n_vm_ids > 0)
-		comet_floor_tick(&node->floor, members, count, now.mono_us);
+		comet_load_shedding_tick(&node->floor, members, count, now.mono_us);
 	comet_node_tick_requests(node);
 	tick_schedulers(node);
 	comet_node_fetch_bundle(node);
@@ -199,7 +199,7 @@
 
 	for (size_t i = 0; i < count; i++)
 	{
-		if (members[i]->heard_us != 0)
+		if (members[i]->last_seen_us != 0)
 			heard++;
 	}
 	return heard == count;
--- a/libcometspindle/node/node_admit.c
+++ b/libcometspindle/node/node_admit.c
@@ -67,7 +67,7 @@
 	while (node->waiting_total > node->max_waiting)
 	{
 		uint32_t lowest = lowest_waiting(node);
-		comet_floor_press(&node->floor, lowest, node->now.mono_us);
+		comet_load_shedding_request(&node->floor, lowest, node->now.mono_us);
 		if (lowest < node->floor.shed_from)
 			return;
 		comet_request_shed(node, newest_of_tier(node, lowest));
--- a/libcometspindle/node/node_state.h
+++ b/libcometspindle/node/node_state.h
@@ -8,7 +8,7 @@
 #include <glib.h>
 #include <inttypes.h>
 #include <libcometspindle/claims.h>
-#include <libcometspindle/floor.h>
+#include <libcometspindle/load_shedding.h>
 #include <libcometspindle/log.h>
 #include <libcometspindle/node/node_types.h>
 #include <libcometspindle/scheduler/policy.h>
@@ -87,7 +87,7 @@
 	uint64_t started_us;
 	struct comet_membership *members;
 	struct comet_claims *claims;
-	struct comet_floor floor;
+	struct comet_load_shedding floor;
 	struct comet_quota *quota;
 	struct comet_role *roles;
 	uint32_t n_roles;
--- a/libcometspindle/draw.c
+++ b/libcometspindle/random.c
@@ -1,17 +1,17 @@
 /*
- * draw.c
+ * random.c
  * draws that are spread, not secret: xorshift64*
  */
-#include <libcometspindle/draw.h>
+#include <libcometspindle/random.h>
 
 void
-comet_draw_init(struct comet_draw *draw, uint64_t seed)
+comet_random_init(struct comet_random *draw, uint64_t seed)
 {
 	draw->state = seed != 0 ? seed : 1;
 }
 
 uint32_t
-comet_draw_u32(struct comet_draw *draw)
+comet_random_u32(struct comet_random *draw)
 {
 	draw->state ^= draw->state >> 12;
 	draw->state ^= draw->state << 25;
@@ -20,7 +20,7 @@
 }
 
 double
-comet_draw_unit(struct comet_draw *draw)
+comet_random_double(struct comet_random *draw)
 {
-	return (double)comet_draw_u32(draw) / 4294967296.0;
+	return (double)comet_random_u32(draw) / 4294967296.0;
 }
--- a/libcometspindle/request.c
+++ b/libcometspindle/request.c
@@ -4,7 +4,7 @@
  */
 #include <libcometspindle/request.h>
 
-#include <libcometspindle/check.h>
+#include <libcometspindle/json_validator.h>
 #include <libcometspindle/error.h>
 #include <string.h>
 
@@ -123,7 +123,7 @@
 struct comet_completion *
 comet_completion_parse(const char *body, size_t length, bool chat, GError **error)
 {
-	struct json_object *document = comet_check_parse(body, length, error);
+	struct json_object *document = comet_json_validator_parse(body, length, error);
 
 	if (document == NULL)
 		return NULL;
--- a/tests/bench/measure_directory.c
+++ b/tests/bench/measure_directory.c
@@ -8,7 +8,7 @@
 
 #include <glib.h>
 #include <libcometspindle/gateway/endpoints/instances.h>
-#include <platform/catalog.h>
+#include <platform/replica.h>
 #include <platform/server_entry.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -56,19 +56,19 @@
 }
 
 static void
-on_removed(void *ctx, const char *key, bool doubtful)
+on_removed(void *ctx, const char *key, bool tentative)
 {
 	(void)ctx;
 	(void)key;
-	(void)doubtful;
+	(void)tentative;
 }
 
-static const struct comet_catalog_events events = {.put = on_put, .removed = on_removed};
+static const struct comet_replica_events events = {.put = on_put, .removed = on_removed};
 
 static void
-take_list(void *ctx, const struct comet_store_answer *answer)
+take_list(void *ctx, const struct comet_store_response *answer)
 {
-	comet_catalog_take(ctx, answer->items, answer->n_items, false);
+	comet_replica_merge(ctx, answer->items, answer->n_items, false);
 }
 
 /* What callgrind counts: its name must stay. */
@@ -78,9 +78,9 @@
 	for (uint32_t i = 0; i < lists; i++)
 	{
 		struct comet_instances *instances = comet_instances_create(NULL, "zone-1");
-		struct comet_catalog *catalog = comet_catalog_create(instances, &events, instances);
-		if (!comet_store_parse(text->str, text->len, take_list, catalog, NULL) ||
-			comet_instances_of(instances, "svc")->len != entries)
+		struct comet_replica *replica = comet_replica_create(instances, &events, instances);
+		if (!comet_store_parse(text->str, text->len, take_list, replica, NULL) ||
+			comet_instances_for_service(instances, "svc")->len != entries)
 			abort();
 		talloc_free(instances);
 	}
--- a/tests/bench/measure_document.c
+++ b/tests/bench/measure_document.c
@@ -7,8 +7,8 @@
 #include "cpu_time.h"
 
 #include <glib.h>
-#include <libcometspindle/pack.h>
-#include <platform/documents.h>
+#include <libcometspindle/compress.h>
+#include <platform/document_parser.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -52,9 +52,9 @@
 /* What is measured. */
 struct work
 {
-	struct comet_text before;
-	struct comet_text after;
-	struct comet_text packed;
+	struct comet_byte_span before;
+	struct comet_byte_span after;
+	struct comet_byte_span packed;
 	char digest[COMET_DIGEST_CHARS];
 	struct comet_route_table *table;
 };
@@ -69,19 +69,19 @@
 static void
 pack(struct work *work)
 {
-	g_bytes_unref(comet_pack(&work->after, &work->before));
+	g_bytes_unref(comet_compress(&work->after, &work->before));
 }
 
 static void
 pack_whole(struct work *work)
 {
-	g_bytes_unref(comet_pack(&work->after, NULL));
+	g_bytes_unref(comet_compress(&work->after, NULL));
 }
 
 static void
 unpack(struct work *work)
 {
-	g_bytes_unref(comet_unpack(&work->packed, &work->before, 1 << 24, work->digest, NULL));
+	g_bytes_unref(comet_decompress(&work->packed, &work->before, 1 << 24, work->digest, NULL));
 }
 
 static void
@@ -128,11 +128,11 @@
 	};
 	gsize length = 0;
 
-	GBytes *change = comet_pack(&work.after, &work.before);
+	GBytes *change = comet_compress(&work.after, &work.before);
 	work.packed.data = g_bytes_get_data(change, &length);
 	work.packed.length = length;
 	comet_digest(&work.after, work.digest);
-	GBytes *whole = comet_pack(&work.after, NULL);
+	GBytes *whole = comet_compress(&work.after, NULL);
 	printf("{\"bench\":\"document\",\"routes\":%u,\"bytes\":%zu,\"packed_bytes\":%zu,"
 	       "\"change_bytes\":%zu,\"decode_us\":%.0f,\"pack_us\":%.0f,\"pack_change_us\":%.0f,"
 	       "\"unpack_change_us\":%.0f,\"find_us\":%.2f}\n",
--- a/tests/fuzz/fuzz_head.c
+++ b/tests/fuzz/fuzz_head.c
@@ -6,7 +6,7 @@
  * caller's id, and the reserved headers just as the gateway sets them.
  */
 #include <libcometspindle/adapters/gateway/forward_head.h>
-#include <platform/names.h>
+#include <platform/header_names.h>
 #include <stdlib.h>
 #include <string.h>
 #include <talloc.h>
@@ -24,7 +24,7 @@
 	char *caller_id; /* the caller's own */
 };
 
-static const struct comet_forward forward = {
+static const struct comet_forward_params forward = {
 	.left_ms = 4321, .instance = "i-1", .team = "team", .last_event = "7", .body_bytes = 0};
 
 static void
@@ -44,7 +44,7 @@
 static bool
 on_forwarded(void *ctx, struct comet_http_head *head)
 {
-	const struct comet_wire_names *names = &comet_platform_names;
+	const struct comet_header_names *names = &comet_platform_header_names;
 	struct seen *seen = ctx;
 	const char *id = comet_http_head_get(head, names->request_id);
 
@@ -58,7 +58,7 @@
 	for (size_t i = 0; i < head->n_headers; i++)
 	{
 		const char *name = head->headers[i].name;
-		check(!comet_wire_is_reserved(names, name) ||
+		check(!comet_header_is_reserved(names, name) ||
 			comet_http_head_count(head, name) == 1);
 	}
 	for (const char *const *name = names->reserved + 3; *name != NULL; name++)
@@ -88,12 +88,12 @@
 static bool
 on_head(void *ctx, struct comet_http_head *head)
 {
-	struct seen seen = {
-		.caller_id = g_strdup(comet_http_head_get(head, comet_platform_names.request_id))};
+	struct seen seen = {.caller_id = g_strdup(comet_http_head_get(
+				    head, comet_platform_header_names.request_id))};
 	GString *out = g_string_new(NULL);
 	size_t taken = 0;
 
-	comet_forward_write_head(out, head, &comet_platform_names, &forward);
+	comet_forward_write_head(out, head, &comet_platform_header_names, &forward);
 	struct comet_http_reader *reader =
 		comet_http_reader_create(ctx, true, 2 * HEAD_MAX_BYTES, &forwarded_events, &seen);
 	comet_http_reader_feed(reader, out->str, out->len, &taken);
--- a/tests/fuzz/fuzz_published.c
+++ b/tests/fuzz/fuzz_published.c
@@ -8,9 +8,9 @@
  * must be taken again.
  */
 #include <libcometspindle/adapters/socket.h>
-#include <platform/catalog.h>
-#include <platform/documents.h>
-#include <platform/fields.h>
+#include <platform/replica.h>
+#include <platform/document_parser.h>
+#include <platform/json_fields.h>
 #include <platform/server_entry.h>
 #include <stdlib.h>
 #include <string.h>
@@ -44,7 +44,8 @@
 	struct sockaddr_in address;
 
 	(void)ctx;
-	check(comet_fields_is_name(record->service) && comet_fields_is_name(record->zone));
+	check(comet_json_fields_is_name(record->service) &&
+		comet_json_fields_is_name(record->zone));
 	check(comet_socket_parse_address(record->address, &address));
 	check(record->slots > 0);
 }
@@ -79,19 +80,19 @@
 }
 
 static void
-on_removed(void *ctx, const char *key, bool doubtful)
+on_removed(void *ctx, const char *key, bool tentative)
 {
 	(void)key;
-	(void)doubtful;
+	(void)tentative;
 	(*(size_t *)ctx)--;
 }
 
-static const struct comet_catalog_events catalog_events = {.put = on_put, .removed = on_removed};
+static const struct comet_replica_events catalog_events = {.put = on_put, .removed = on_removed};
 
 static void
-take_copy(void *ctx, const struct comet_store_answer *answer)
+take_copy(void *ctx, const struct comet_store_response *answer)
 {
-	comet_catalog_take_snapshot(ctx, answer, false);
+	comet_replica_merge_snapshot(ctx, answer, false);
 }
 
 /* Reads an answer into a catalog, and the copy of that into another. */
@@ -101,11 +102,11 @@
 	size_t taken = 0;
 	size_t taken_again = 0;
 	GError *error = NULL;
-	struct comet_catalog *one = comet_catalog_create(NULL, &catalog_events, &taken);
-	struct comet_catalog *two = comet_catalog_create(NULL, &catalog_events, &taken_again);
+	struct comet_replica *one = comet_replica_create(NULL, &catalog_events, &taken);
+	struct comet_replica *two = comet_replica_create(NULL, &catalog_events, &taken_again);
 
 	check_error(comet_store_parse(text, length, take_copy, one, &error), error);
-	GBytes *copy = comet_catalog_snapshot(one);
+	GBytes *copy = comet_replica_snapshot(one);
 	if (copy != NULL)
 	{
 		gsize size = 0;
@@ -113,7 +114,7 @@
 		check(comet_store_parse(bytes, size, take_copy, two, NULL));
 		g_bytes_unref(copy);
 		check(taken_again <= taken); /* a key that comes twice is one item */
-		check(comet_catalog_position(one) == comet_catalog_position(two));
+		check(comet_replica_position(one) == comet_replica_position(two));
 	}
 	talloc_free(one);
 	talloc_free(two);
@@ -134,23 +135,23 @@
 }
 
 static void
-removed_any(void *ctx, const char *key, bool doubtful)
+removed_any(void *ctx, const char *key, bool tentative)
 {
 	(void)ctx;
 	(void)key;
-	(void)doubtful;
+	(void)tentative;
 }
 
-static const struct comet_catalog_events replica_events = {
+static const struct comet_replica_events replica_events = {
 	.put = put_any, .removed = removed_any, .is_document = is_document};
 
 static void
-take_any(void *ctx, const struct comet_store_answer *answer)
+take_any(void *ctx, const struct comet_store_response *answer)
 {
 	if (answer->is_delta || answer->is_partial)
-		comet_catalog_take_delta(ctx, answer, false);
+		comet_replica_merge_delta(ctx, answer, false);
 	else
-		comet_catalog_take_snapshot(ctx, answer, false);
+		comet_replica_merge_snapshot(ctx, answer, false);
 }
 
 static void
@@ -168,16 +169,16 @@
 		"{\"entries\":[{\"private_key\":\"op/config\",\"revision\":1,"
 		"\"value\":\"e30=\"},{\"private_key\":\"servers/i-1\",\"revision\":"
 		"2,\"value\":\"e30=\"}],\"current_rev\":2}";
-	struct comet_catalog *replica = comet_catalog_create(NULL, &replica_events, NULL);
+	struct comet_replica *replica = comet_replica_create(NULL, &replica_events, NULL);
 
 	check(comet_store_parse(list, strlen(list), take_any, replica, NULL));
 	GError *error = NULL;
 	check_error(comet_store_parse(text, length, take_any, replica, &error), error);
-	check(comet_catalog_position(replica) <= comet_catalog_entries_position(replica));
-	write_and_drop(comet_catalog_documents(replica, text));
-	write_and_drop(comet_catalog_entries_delta(replica, 1, 0));
-	char *query = comet_catalog_query(replica);
-	write_and_drop(comet_catalog_documents(replica, query));
+	check(comet_replica_position(replica) <= comet_replica_entries_position(replica));
+	write_and_drop(comet_replica_documents(replica, text));
+	write_and_drop(comet_replica_entries_delta(replica, 1, 0));
+	char *query = comet_replica_query(replica);
+	write_and_drop(comet_replica_documents(replica, query));
 	g_free(query);
 	talloc_free(replica);
 }
--- a/tests/preload/suspend.c
+++ b/tests/preload/suspend.c
@@ -25,7 +25,7 @@
 static int64_t
 suspended_ns(void)
 {
-	static volatile const int64_t *told_us;
+	static volatile const int64_t *reported_us;
 	static int opened;
 
 	if (!opened)
@@ -33,13 +33,13 @@
 		const char *path = getenv("COMET_TEST_SUSPENDED");
 		int fd = path != NULL ? open(path, O_RDONLY | O_CLOEXEC) : -1;
 		opened = 1;
-		void *at = fd >= 0 ? mmap(NULL, sizeof *told_us, PROT_READ, MAP_SHARED, fd, 0)
+		void *at = fd >= 0 ? mmap(NULL, sizeof *reported_us, PROT_READ, MAP_SHARED, fd, 0)
 				   : MAP_FAILED;
-		told_us = at != MAP_FAILED ? at : NULL;
+		reported_us = at != MAP_FAILED ? at : NULL;
 		if (fd >= 0)
 			close(fd);
 	}
-	return told_us != NULL ? *told_us * 1000 : 0;
+	return reported_us != NULL ? *reported_us * 1000 : 0;
 }
 
 static void
--- a/tests/standin/engine_http.c
+++ b/tests/standin/engine_http.c
@@ -86,7 +86,7 @@
 				  sequence->out->str, sequence->prompt_tokens, sequence->emitted);
 	sequence->queued_answer = true;
 	enum MHD_Result result =
-		comet_http_answer(connection, MHD_HTTP_OK, "application/json", body, strlen(body));
+		comet_http_respond(connection, MHD_HTTP_OK, "application/json", body, strlen(body));
 	g_free(body);
 	return result;
 }
@@ -94,7 +94,7 @@
 static enum MHD_Result
 answer_text(struct MHD_Connection *connection, unsigned int status, const char *text)
 {
-	return comet_http_answer(connection, status, "application/json", text, strlen(text));
+	return comet_http_respond(connection, status, "application/json", text, strlen(text));
 }
 
 static enum MHD_Result
--- a/tests/standin/platform.c
+++ b/tests/standin/platform.c
@@ -140,18 +140,18 @@
 	{
 		char text[64];
 		g_snprintf(text, sizeof text, "{\"reads\":%" G_GUINT64_FORMAT "}", platform->reads);
-		return comet_http_answer(
+		return comet_http_respond(
 			visit->connection, 200, "application/json", text, strlen(text));
 	}
 	if (platform->mode == MODE_DOWN)
-		return comet_http_answer(visit->connection, 503, "text/plain", "down", 4);
+		return comet_http_respond(visit->connection, 503, "text/plain", "down", 4);
 	if (strcmp(url, "/v1/vms") == 0 && platform->vms != NULL)
-		return comet_http_answer(visit->connection, 200, "application/json", platform->vms,
+		return comet_http_respond(visit->connection, 200, "application/json", platform->vms,
 			platform->vms_length);
 	if (strcmp(url, "/v1/bundle") == 0 && platform->version > visit->after)
-		return comet_http_answer(visit->connection, 200, "application/octet-stream",
+		return comet_http_respond(visit->connection, 200, "application/octet-stream",
 			platform->bundle, platform->bundle_length);
-	return comet_http_answer(visit->connection, 204, "text/plain", "", 0);
+	return comet_http_respond(visit->connection, 204, "text/plain", "", 0);
 }
 
 static void
--- a/tests/standin/service.c
+++ b/tests/standin/service.c
@@ -48,7 +48,7 @@
 			visit->service->name, url, id != NULL ? id : "",
 			visit->body->len > 0 ? visit->body->str : "null");
 	enum MHD_Result result =
-		comet_http_answer(connection, MHD_HTTP_OK, "application/json", text, strlen(text));
+		comet_http_respond(connection, MHD_HTTP_OK, "application/json", text, strlen(text));
 
 	g_free(text);
 	return result;
--- a/tests/unit/grants_fleet.h
+++ b/tests/unit/grants_fleet.h
@@ -12,7 +12,7 @@
 {
 #include <libcometspindle/gateway/placement/grants.h>
 #include <libcometspindle/gateway/placement/placement.h>
-#include <libcometspindle/gateway/fleet/views.h>
+#include <libcometspindle/gateway/fleet/gossip.h>
 #include <libcometspindle/hash.h>
 }
 #include <deque>
@@ -37,9 +37,9 @@
 	fleet *all = nullptr;
 	uint32_t address = 0;
 	comet_instances *instances = nullptr;
-	comet_allowance *allowance = nullptr;
+	comet_rate_limiter *rate_limiter = nullptr;
 	comet_placement *placement = nullptr;
-	comet_views *views = nullptr;
+	comet_gossip *gossip = nullptr;
 	comet_grants *grants = nullptr;
 	std::map<comet_placement_item *, std::string> sent;
 	std::map<comet_placement_item *, int> dispatches; /* of each, ever */
@@ -57,10 +57,10 @@
 		auto is_mute = [](const void *ctx, uint32_t vm)
 		{
 			const auto *of = static_cast<const struct query *>(ctx);
-			return comet_grants_is_mute(of->grants, vm, of->now_us);
+			return comet_grants_is_unresponsive(of->grants, vm, of->now_us);
 		};
-		return comet_views_keeper_but(
-			views, shard->id, shard->zone_id, is_mute, &query, now_us);
+		return comet_gossip_find_responsive_owner(
+			gossip, shard->id, shard->zone_id, is_mute, &query, now_us);
 	}
 };
 
@@ -102,19 +102,19 @@
 	start(uint32_t address, int endpoints, uint32_t cpu_percent = 100)
 	{
 		static const uint32_t seeds[] = {1};
-		static const comet_views_ops views_ops = {on_send, on_changed};
+		static const comet_gossip_ops views_ops = {on_send, on_changed};
 		static const comet_placement_ops placement_ops = {
 			on_dispatch, on_refuse, on_keeper, on_ask, on_forget, on_grant};
 		static const comet_grants_ops grants_ops = {on_send, on_granted, on_denied,
 			on_waits, on_waited, on_unanswered, on_choose, on_freed};
-		comet_allowance_bounds bounds = {8000, 0, 0};
+		comet_rate_limiter_config bounds = {8000, 0, 0};
 		vm &one = vms[address];
 
 		one.all = this;
 		one.address = address;
 		one.instances = comet_instances_create(nullptr, "z");
-		one.allowance = comet_allowance_create(one.instances, &bounds, now_us);
-		comet_allowance_set_teams(one.allowance, table, now_us);
+		one.rate_limiter = comet_rate_limiter_create(one.instances, &bounds, now_us);
+		comet_rate_limiter_set_teams(one.rate_limiter, table, now_us);
 		for (int i = 0; i < endpoints; i++)
 		{
 			std::string id = "i" + std::to_string(i);
@@ -122,10 +122,10 @@
 				id.c_str(), "llm", "127.0.0.1:1", "z", slots, 0, false, 0};
 			comet_instances_put(one.instances, &record, now_us);
 		}
-		comet_views_config config = {address, address, now_us, 8000, seeds, 1, "z", 100000,
+		comet_gossip_config config = {address, address, now_us, 8000, seeds, 1, "z", 100000,
 			100000, cpu_percent, nullptr};
-		one.views = comet_views_create(
-			one.instances, &config, one.instances, one.allowance, &views_ops, &one);
+		one.gossip = comet_gossip_create(
+			one.instances, &config, one.instances, one.rate_limiter, &views_ops, &one);
 		one.placement = comet_placement_create(
 			one.instances, one.instances, &placement_ops, &one, address);
 		one.grants = comet_grants_create(one.instances, address, &grants_ops, &one);
@@ -161,32 +161,32 @@
 		static_cast<vm *>(ctx)->refused.insert(item);
 	}
 
-	static comet_placement_keeper
+	static comet_placement_owner
 	on_keeper(void *ctx, comet_shard *shard)
 	{
 		auto *one = static_cast<vm *>(ctx);
 		uint64_t now_us = one->all->now_us;
 		if (!one->all->asks)
-			return COMET_PLACEMENT_KEEPER_NONE;
+			return COMET_PLACEMENT_OWNER_NONE;
 		uint32_t keeper = one->keeper_of(shard, now_us);
 		if (keeper == one->address)
-			return COMET_PLACEMENT_KEEPER_SELF;
-		return keeper != 0 ? COMET_PLACEMENT_KEEPER_OTHER : COMET_PLACEMENT_KEEPER_NONE;
+			return COMET_PLACEMENT_OWNER_SELF;
+		return keeper != 0 ? COMET_PLACEMENT_OWNER_OTHER : COMET_PLACEMENT_OWNER_NONE;
 	}
 
 	static void
 	on_ask(void *ctx, comet_placement_item *item, comet_shard *shard,
-		const comet_placement_ask *ask)
+		const comet_slot_request *ask)
 	{
 		auto *one = static_cast<vm *>(ctx);
 		uint64_t now_us = one->all->now_us;
-		comet_grants_ask(one->grants, item, one->keeper_of(shard, now_us), ask, now_us);
+		comet_grants_request(one->grants, item, one->keeper_of(shard, now_us), ask, now_us);
 	}
 
 	static void
 	on_forget(void *ctx, comet_placement_item *item)
 	{
-		comet_grants_forget(static_cast<vm *>(ctx)->grants, item);
+		comet_grants_cancel(static_cast<vm *>(ctx)->grants, item);
 	}
 
 	static void
@@ -210,23 +210,24 @@
 	on_waits(void *ctx, comet_placement_item *item, uint64_t expected_us)
 	{
 		auto *one = static_cast<vm *>(ctx);
-		comet_placement_expected(one->placement, item, expected_us, one->all->now_us);
+		comet_placement_set_expected_wait(
+			one->placement, item, expected_us, one->all->now_us);
 	}
 
 	static void
 	on_waited(void *ctx, comet_placement_item *item)
 	{
 		auto *one = static_cast<vm *>(ctx);
-		comet_placement_waited(one->placement, item, one->all->now_us);
+		comet_placement_wait_expired(one->placement, item, one->all->now_us);
 		comet_placement_run(one->placement, one->all->now_us);
 	}
 
 	static void
-	on_grant(void *ctx, const comet_placement_ask *ask, comet_instance *instance)
+	on_grant(void *ctx, const comet_slot_request *ask, comet_instance *instance)
 	{
 		auto *one = static_cast<vm *>(ctx);
-		comet_views_granted(one->views, ask->asker, instance->key, ask->job.prompt_tokens,
-			one->all->now_us);
+		comet_gossip_slot_granted(one->gossip, ask->asker, instance->key,
+			ask->job.prompt_tokens, one->all->now_us);
 		comet_grants_grant(one->grants, ask->asker, ask->number, instance->key);
 	}
 
@@ -238,11 +239,11 @@
 	}
 
 	static uint32_t
-	on_choose(void *ctx, const comet_SlotAsk *ask, comet_placement_wait *wait)
+	on_choose(void *ctx, const comet_SlotAsk *ask, comet_placement_wait_estimate *wait)
 	{
 		auto *one = static_cast<vm *>(ctx);
 		uint64_t now_us = one->all->now_us;
-		comet_placement_ask wanted = {};
+		comet_slot_request wanted = {};
 		wanted.asker = ask->asker;
 		wanted.number = ask->number;
 		wanted.shard = ask->shard;
@@ -253,14 +254,14 @@
 		wanted.team_rank = ask->team_rank;
 		wanted.route_rank = ask->route_rank;
 		wanted.late = ask->late;
-		wanted.aim_us = ask->aim_ms > 0 ? now_us + ask->aim_ms * 1000 : 0;
+		wanted.soft_deadline_us = ask->aim_ms > 0 ? now_us + ask->aim_ms * 1000 : 0;
 		wanted.wait_us = ask->wait_ms * 1000;
 		comet_instance *instance =
-			comet_placement_choose_for(one->placement, &wanted, now_us, wait);
+			comet_placement_choose_remote(one->placement, &wanted, now_us, wait);
 		if (instance == nullptr)
 			return 0;
-		comet_views_granted(
-			one->views, ask->asker, instance->key, ask->prompt_tokens, now_us);
+		comet_gossip_slot_granted(
+			one->gossip, ask->asker, instance->key, ask->prompt_tokens, now_us);
 		return instance->key;
 	}
 
@@ -268,14 +269,14 @@
 	on_freed(void *ctx, const comet_SlotFreed *freed)
 	{
 		auto *one = static_cast<vm *>(ctx);
-		comet_views_freed(one->views, freed->asker, freed->instance);
+		comet_gossip_slot_released(one->gossip, freed->asker, freed->instance);
 		comet_instance *instance =
 			comet_instances_find_key(one->instances, freed->instance);
 		if (instance != nullptr)
 		{
 			comet_instance_learn(
 				instance, !freed->plain, freed->taken_us, freed->events);
-			comet_instance_told_result(
+			comet_instance_remote_result(
 				instance, comet_grants_result(freed->result), one->all->now_us);
 		}
 		comet_placement_run(one->placement, one->all->now_us);
@@ -306,7 +307,7 @@
 		vm &to = vms[one.to];
 		if (datagram.which_body == comet_Datagram_view_tag)
 		{
-			EXPECT_TRUE(comet_views_receive(to.views, &datagram.body.view, now_us));
+			EXPECT_TRUE(comet_gossip_receive(to.gossip, &datagram.body.view, now_us));
 		}
 		else
 			comet_grants_receive(to.grants, &datagram);
@@ -321,10 +322,10 @@
 			for (auto &one : vms)
 			{
 				comet_grants_tick(one.second.grants, now_us);
-				comet_views_tick(one.second.views, now_us);
+				comet_gossip_tick(one.second.gossip, now_us);
 				uint32_t known = 0;
 				uint32_t heard = 0;
-				comet_views_count(one.second.views, &known, &heard);
+				comet_gossip_count(one.second.gossip, &known, &heard);
 				comet_placement_set_vms(one.second.placement, heard + 1, known + 1);
 				comet_placement_run(one.second.placement, now_us);
 			}
@@ -333,7 +334,8 @@
 	}
 
 	comet_placement_item *
-	submit(uint32_t address, uint32_t rank = 2, uint64_t aim_us = 0, bool plain = false)
+	submit(uint32_t address, uint32_t rank = 2, uint64_t soft_deadline_us = 0,
+		bool plain = false)
 	{
 		auto item = std::make_unique<comet_placement_item>();
 		item->service = "llm";
@@ -341,9 +343,9 @@
 		if (plain)
 			item->job = {0, 0, 0, false};
 		item->route_rank = rank;
-		item->latest_us = now_us + 30000000;
+		item->dispatch_deadline_us = now_us + 30000000;
 		item->early_us = now_us + 100000;
-		item->aim_us = aim_us != 0 ? now_us + aim_us : 0;
+		item->soft_deadline_us = soft_deadline_us != 0 ? now_us + soft_deadline_us : 0;
 		comet_placement_submit(vms[address].placement, item.get(), now_us);
 		items.push_back(std::move(item));
 		return items.back().get();
@@ -358,10 +360,10 @@
 		comet_instance *instance =
 			comet_instances_find(one.instances, one.sent[item].c_str());
 		comet_instance_ended(instance, &item->job, false, result, 0, 0, now_us);
-		comet_placement_freed(one.placement, instance);
+		comet_placement_slot_released(one.placement, instance);
 		if (item->keeper != 0)
 		{
-			comet_grants_end end = {result, item->job.stream, events, stream_us};
+			comet_grants_completion end = {result, item->job.stream, events, stream_us};
 			comet_grants_release(one.grants, item->keeper, instance->key, &end);
 		}
 		item->keeper = 0;
@@ -402,9 +404,9 @@
 	{
 		comet_instance *any = comet_instances_find(vms[asker].instances, "i0");
 		comet_shards *shards = comet_shards_create(nullptr, vms[asker].instances);
-		comet_shards_of(shards, "llm");
-		uint32_t keeper = comet_views_keeper(
-			vms[asker].views, any->shard, comet_hash_name("z"), now_us);
+		comet_shards_for_service(shards, "llm");
+		uint32_t keeper = comet_gossip_find_owner(
+			vms[asker].gossip, any->shard, comet_hash_name("z"), now_us);
 		talloc_free(shards);
 		return keeper;
 	}
--- a/tests/unit/placement_fixture.h
+++ b/tests/unit/placement_fixture.h
@@ -90,7 +90,7 @@
 		item.service = "llm";
 		item.job = {1000, 100, 100, true};
 		item.route_rank = rank;
-		item.latest_us = now_us + 2000000;
+		item.dispatch_deadline_us = now_us + 2000000;
 		item.early_us = now_us + 100000;
 		return item;
 	}
--- a/tests/unit/test_catalog_parts.cc
+++ b/tests/unit/test_catalog_parts.cc
@@ -6,7 +6,7 @@
 
 extern "C"
 {
-#include <platform/catalog.h>
+#include <platform/replica.h>
 }
 #include <cstring>
 #include <map>
@@ -84,18 +84,18 @@
 	const store *source;
 	std::map<std::string, std::string> known;
 	std::map<std::string, uint64_t> revisions; /* of what is known, 0: gone */
-	comet_catalog *catalog;
+	comet_replica *replica;
 
-	static const comet_catalog_events events;
+	static const comet_replica_events events;
 
 	explicit vm(const store *source)
-	    : source(source), catalog(comet_catalog_create(nullptr, &events, this))
+	    : source(source), replica(comet_replica_create(nullptr, &events, this))
 	{
 	}
 
 	~vm()
 	{
-		talloc_free(catalog);
+		talloc_free(replica);
 	}
 
 	vm(const vm &) = delete;
@@ -123,7 +123,7 @@
 		std::vector<comet_store_item> items;
 		for (const change &change : changes)
 			items.push_back(item_of(change));
-		comet_catalog_take(catalog, items.data(), items.size(), false);
+		comet_replica_merge(replica, items.data(), items.size(), false);
 	}
 
 	void
@@ -138,15 +138,15 @@
 			if (!pair.second.removed)
 				changes.push_back(pair.second);
 		}
-		comet_catalog_list_begin(catalog);
+		comet_replica_list_begin(replica);
 		take(changes);
-		comet_catalog_list_end(catalog, source->revision(), false);
+		comet_replica_list_end(replica, source->revision(), false);
 	}
 
 	uint64_t
 	position() const
 	{
-		return comet_catalog_position(catalog);
+		return comet_replica_position(replica);
 	}
 
 	/* One watch of everything. */
@@ -156,7 +156,7 @@
 		std::vector<change> changes(
 			source->history.begin() + (long)position(), source->history.end());
 		take(changes);
-		comet_catalog_confirm_documents(catalog, source->revision());
+		comet_replica_confirm_documents(replica, source->revision());
 	}
 
 	void
@@ -165,12 +165,12 @@
 		std::vector<comet_store_item> items;
 		for (const change &change : source->history)
 		{
-			if (change.revision > comet_catalog_entries_position(catalog) &&
+			if (change.revision > comet_replica_entries_position(replica) &&
 				change.key != DOCUMENT)
 				items.push_back(item_of(change));
 		}
-		comet_catalog_take_entries(
-			catalog, items.data(), items.size(), source->revision(), false);
+		comet_replica_merge_entries(
+			replica, items.data(), items.size(), source->revision(), false);
 	}
 
 	void
@@ -178,17 +178,17 @@
 	{
 		const change *newest = source->last(DOCUMENT, source->revision());
 		comet_store_item item = item_of(*newest);
-		comet_catalog_take_documents(catalog, &item, 1, source->revision());
+		comet_replica_merge_documents(replica, &item, 1, source->revision());
 	}
 
 	static void
-	take_answer(void *ctx, const comet_store_answer *answer)
+	take_answer(void *ctx, const comet_store_response *answer)
 	{
-		comet_catalog *to = static_cast<comet_catalog *>(ctx);
+		comet_replica *to = static_cast<comet_replica *>(ctx);
 		if (answer->is_delta || answer->is_partial)
-			comet_catalog_take_delta(to, answer, false);
+			comet_replica_merge_delta(to, answer, false);
 		else
-			comet_catalog_take_snapshot(to, answer, false);
+			comet_replica_merge_snapshot(to, answer, false);
 	}
 
 	void
@@ -199,22 +199,22 @@
 		if (text == nullptr)
 			return;
 		const char *data = static_cast<const char *>(g_bytes_get_data(text, &length));
-		EXPECT_TRUE(comet_store_parse(data, length, take_answer, catalog, &error));
+		EXPECT_TRUE(comet_store_parse(data, length, take_answer, replica, &error));
 		g_bytes_unref(text);
 	}
 
 	void
 	follow_entries(const vm &reader)
 	{
-		take_text(comet_catalog_entries_delta(
-			reader.catalog, comet_catalog_entries_position(catalog), 0));
+		take_text(comet_replica_entries_delta(
+			reader.replica, comet_replica_entries_position(replica), 0));
 	}
 
 	void
 	follow_documents(const vm &reader)
 	{
-		char *query = comet_catalog_query(catalog);
-		take_text(comet_catalog_documents(reader.catalog, query));
+		char *query = comet_replica_query(replica);
+		take_text(comet_replica_documents(reader.replica, query));
 		g_free(query);
 	}
 
@@ -226,7 +226,7 @@
 		{
 			bool document = change.key == DOCUMENT;
 			uint64_t claimed =
-				document ? position() : comet_catalog_entries_position(catalog);
+				document ? position() : comet_replica_entries_position(replica);
 			const struct change *owed = source->last(change.key, claimed);
 			if (owed == nullptr)
 				continue;
@@ -250,7 +250,7 @@
 	}
 };
 
-const comet_catalog_events vm::events = {vm::put, vm::removed, nullptr, is_document};
+const comet_replica_events vm::events = {vm::put, vm::removed, nullptr, is_document};
 
 TEST(CatalogParts, EntriesGoOnWhileADocumentIsMissing)
 {
@@ -265,7 +265,7 @@
 	EXPECT_EQ(reader.known.count("servers/a"), 0U);
 	EXPECT_EQ(reader.known[DOCUMENT], "one");
 	EXPECT_EQ(reader.position(), 2U);
-	EXPECT_EQ(comet_catalog_entries_position(reader.catalog), 4U);
+	EXPECT_EQ(comet_replica_entries_position(reader.replica), 4U);
 
 	vm follower(&store);
 	follower.list();
@@ -293,27 +293,27 @@
 	follower.follow_entries(reader);
 	EXPECT_EQ(follower.known["servers/b"], "1");
 	EXPECT_EQ(follower.position(), 2U);
-	EXPECT_EQ(comet_catalog_missing_document(follower.catalog), 3U);
+	EXPECT_EQ(comet_replica_missing_document(follower.replica), 3U);
 
-	char *query = comet_catalog_query(follower.catalog);
-	GBytes *change = comet_catalog_documents(reader.catalog, query);
+	char *query = comet_replica_query(follower.replica);
+	GBytes *change = comet_replica_documents(reader.replica, query);
 	EXPECT_LT(g_bytes_get_size(change), 1000U);
 	g_free(query);
 	follower.take_text(change);
 	EXPECT_EQ(follower.known[DOCUMENT], more);
 	EXPECT_EQ(follower.position(), 4U);
-	EXPECT_EQ(comet_catalog_missing_document(follower.catalog), 0U);
+	EXPECT_EQ(comet_replica_missing_document(follower.replica), 0U);
 
 	/* whose version is not known here gets the whole document */
 	vm newcomer(&store);
 	char nothing[] = "after=1&held=00000000000000000000000000000000";
 	store.history.resize(1);
 	newcomer.list();
-	newcomer.take_text(comet_catalog_documents(reader.catalog, nothing));
+	newcomer.take_text(comet_replica_documents(reader.replica, nothing));
 	EXPECT_EQ(newcomer.known[DOCUMENT], more);
 	for (const char *bad : {"", "after=", "held=1", "before=1", "after=x"})
 	{
-		GBytes *answer = comet_catalog_documents(reader.catalog, bad);
+		GBytes *answer = comet_replica_documents(reader.replica, bad);
 		if (answer != nullptr)
 			g_bytes_unref(answer);
 	}
@@ -333,11 +333,11 @@
 	reader.watch_entries(); /* the document is still on its way */
 	follower.follow_entries(reader);
 	EXPECT_EQ(follower.known["servers/a"], "2");
-	EXPECT_EQ(comet_catalog_missing_document(follower.catalog), 0U);
+	EXPECT_EQ(comet_replica_missing_document(follower.replica), 0U);
 	reader.read_document();
 	EXPECT_GT(reader.position(), follower.position());
 	follower.follow_entries(reader);
-	EXPECT_EQ(comet_catalog_missing_document(follower.catalog), 3U);
+	EXPECT_EQ(comet_replica_missing_document(follower.replica), 3U);
 	follower.follow_documents(reader);
 	EXPECT_EQ(follower.known[DOCUMENT], "two");
 	EXPECT_EQ(follower.position(), reader.position());
@@ -354,8 +354,8 @@
 	follower.list();
 	store.write(DOCUMENT, "two");
 	reader.watch();
-	char *query = comet_catalog_query(follower.catalog);
-	GBytes *change = comet_catalog_documents(reader.catalog, query);
+	char *query = comet_replica_query(follower.replica);
+	GBytes *change = comet_replica_documents(reader.replica, query);
 	g_free(query);
 	follower.read_document(); /* its own read was faster */
 	store.write(DOCUMENT, "three");
@@ -400,7 +400,7 @@
 	reader.watch();
 	follower.follow_entries(reader);
 	follower.check();
-	follower.take_text(comet_catalog_snapshot(reader.catalog));
+	follower.take_text(comet_replica_snapshot(reader.replica));
 	EXPECT_EQ(follower.known, reader.known);
 }
 
@@ -475,10 +475,10 @@
 				break;
 			case 8:
 				one.take_text(
-					comet_catalog_delta(other.catalog, one.position(), 0));
+					comet_replica_delta(other.replica, one.position(), 0));
 				break;
 			default:
-				one.take_text(comet_catalog_snapshot(other.catalog));
+				one.take_text(comet_replica_snapshot(other.replica));
 				break;
 			}
 			one.check();
@@ -502,13 +502,13 @@
 	vm one(&store);
 	std::vector<comet_store_item> page = {item_of(store.history[0])};
 	uint64_t listed = store.revision();
-	comet_catalog_list_begin(one.catalog);
-	comet_catalog_take_page(one.catalog, page.data(), page.size());
+	comet_replica_list_begin(one.replica);
+	comet_replica_merge_page(one.replica, page.data(), page.size());
 	store.write("servers/a", "", true);
 	store.write("servers/b", "2");
 	page = {item_of(store.history[3])};
-	comet_catalog_take_page(one.catalog, page.data(), page.size());
-	comet_catalog_list_end(one.catalog, listed, false);
+	comet_replica_merge_page(one.replica, page.data(), page.size());
+	comet_replica_list_end(one.replica, listed, false);
 	one.check();
 	EXPECT_EQ(one.position(), 2U);
 }
--- a/tests/unit/test_crashes.cc
+++ b/tests/unit/test_crashes.cc
@@ -6,7 +6,7 @@
 
 extern "C"
 {
-#include <libcometspindle/gateway/admission/crashes.h>
+#include <libcometspindle/gateway/admission/crash_tracker.h>
 }
 #include <algorithm>
 #include <random>
@@ -25,44 +25,47 @@
 {
 	Vm()
 	{
-		crashes = comet_crashes_create(nullptr, &ops, this);
+		crash_tracker = comet_crash_tracker_create(nullptr, &ops, this);
 	}
 
 	~Vm()
 	{
-		talloc_free(crashes);
+		talloc_free(crash_tracker);
 	}
 
 	Vm(const Vm &) = delete;
 
 	static void
-	on_news(void *ctx, const comet_fingerprint *, comet_crashes_news news, uint32_t, bool)
+	on_news(void *ctx, const comet_fingerprint *, comet_crash_tracker_event news, uint32_t,
+		bool)
 	{
 		((Vm *)ctx)->news[news]++;
 	}
 
 	/* Its run at that life breaks off. */
 	void
-	suspect(const comet_fingerprint &request, uint32_t life, uint64_t heard_us, uint64_t now_us,
-		bool cancelled = false)
+	suspect(const comet_fingerprint &request, uint32_t incarnation_key, uint64_t last_seen_us,
+		uint64_t now_us, bool cancelled = false)
 	{
-		const comet_crashes_run run = {request, life, heard_us, cancelled};
+		const comet_crash_tracker_run run = {
+			request, incarnation_key, last_seen_us, cancelled};
 
-		comet_crashes_suspect(crashes, &run, now_us);
+		comet_crash_tracker_add_suspect(crash_tracker, &run, now_us);
 	}
 
 	/* An endpoint's process crashes while it runs the request. */
 	void
-	crash(const comet_fingerprint &request, uint32_t life, uint64_t now_us)
+	crash(const comet_fingerprint &request, uint32_t incarnation_key, uint64_t now_us)
 	{
-		suspect(request, life, now_us, now_us);
-		comet_crashes_life_ended(crashes, life, now_us, now_us + SECOND_US / 2);
+		suspect(request, incarnation_key, now_us, now_us);
+		comet_crash_tracker_process_crashed(
+			crash_tracker, incarnation_key, now_us, now_us + SECOND_US / 2);
 	}
 
 	bool
 	bars(const comet_fingerprint &request)
 	{
-		return comet_crashes_bars(crashes, &request);
+		return comet_crash_tracker_is_quarantined(crash_tracker, &request);
 	}
 
 	/* Sends a view to another VM. */
@@ -70,19 +73,19 @@
 	tell(Vm &other, uint64_t now_us)
 	{
 		comet_Crashed records[4];
-		size_t count = comet_crashes_put(crashes, records, 4, now_us);
+		size_t count = comet_crash_tracker_encode(crash_tracker, records, 4, now_us);
 
 		ASSERT_LE(count, 4U);
 		for (size_t i = 0; i < count; i++)
-			comet_crashes_take(other.crashes, &records[i], now_us);
+			comet_crash_tracker_merge(other.crash_tracker, &records[i], now_us);
 	}
 
-	static const comet_crashes_ops ops;
-	comet_crashes *crashes;
+	static const comet_crash_tracker_ops ops;
+	comet_crash_tracker *crash_tracker;
 	int news[4] = {};
 };
 
-const comet_crashes_ops Vm::ops = {on_news};
+const comet_crash_tracker_ops Vm::ops = {on_news};
 
 const comet_fingerprint REQUEST = {77, 1};
 
@@ -96,7 +99,7 @@
 	EXPECT_FALSE(vm.bars(REQUEST));
 	vm.crash(REQUEST, 3, MINUTE_US);
 	EXPECT_TRUE(vm.bars(REQUEST));
-	EXPECT_EQ(vm.news[COMET_CRASHES_BARRED], 1);
+	EXPECT_EQ(vm.news[COMET_CRASH_TRACKER_QUARANTINED], 1);
 }
 
 /* Two teams may send the same bytes, and one team may have found bytes that hash like another's. */
@@ -104,8 +107,8 @@
 {
 	Vm vm;
 
-	for (uint32_t life = 1; life <= 5; life++)
-		vm.crash(REQUEST, life, MINUTE_US);
+	for (uint32_t incarnation_key = 1; incarnation_key <= 5; incarnation_key++)
+		vm.crash(REQUEST, incarnation_key, MINUTE_US);
 	EXPECT_TRUE(vm.bars(REQUEST));
 	EXPECT_FALSE(vm.bars({REQUEST.digest, 2}));
 	EXPECT_FALSE(vm.bars({REQUEST.digest + 1, REQUEST.team}));
@@ -115,15 +118,15 @@
 {
 	Vm vm;
 
-	for (uint32_t life = 1; life <= 5; life++)
+	for (uint32_t incarnation_key = 1; incarnation_key <= 5; incarnation_key++)
 	{
 		/* its connection broke; the process answered others for a second, and crashed later
 		 */
-		vm.suspect(REQUEST, life, MINUTE_US, MINUTE_US);
-		comet_crashes_life_ended(
-			vm.crashes, life, MINUTE_US + SECOND_US, MINUTE_US + 2 * SECOND_US);
+		vm.suspect(REQUEST, incarnation_key, MINUTE_US, MINUTE_US);
+		comet_crash_tracker_process_crashed(vm.crash_tracker, incarnation_key,
+			MINUTE_US + SECOND_US, MINUTE_US + 2 * SECOND_US);
 	}
-	EXPECT_EQ(comet_crashes_count(vm.crashes).records, 0U);
+	EXPECT_EQ(comet_crash_tracker_count(vm.crash_tracker).records, 0U);
 }
 
 /* The bytes that the process had sent to others may be read a little later. */
@@ -132,22 +135,24 @@
 	Vm vm;
 
 	vm.suspect(REQUEST, 1, MINUTE_US, MINUTE_US);
-	comet_crashes_life_ended(vm.crashes, 1, MINUTE_US + 50000, MINUTE_US + SECOND_US);
-	EXPECT_EQ(comet_crashes_count(vm.crashes).records, 1U);
+	comet_crash_tracker_process_crashed(
+		vm.crash_tracker, 1, MINUTE_US + 50000, MINUTE_US + SECOND_US);
+	EXPECT_EQ(comet_crash_tracker_count(vm.crash_tracker).records, 1U);
 }
 
 TEST(Crashes, APlannedEndIsNoCrash)
 {
 	Vm vm;
 
-	for (uint32_t life = 1; life <= 5; life++)
+	for (uint32_t incarnation_key = 1; incarnation_key <= 5; incarnation_key++)
 	{
-		vm.suspect(REQUEST, life, MINUTE_US, MINUTE_US);
-		comet_crashes_life_left(vm.crashes, life);
-		comet_crashes_life_ended(vm.crashes, life, MINUTE_US, MINUTE_US + SECOND_US);
+		vm.suspect(REQUEST, incarnation_key, MINUTE_US, MINUTE_US);
+		comet_crash_tracker_process_exited(vm.crash_tracker, incarnation_key);
+		comet_crash_tracker_process_crashed(
+			vm.crash_tracker, incarnation_key, MINUTE_US, MINUTE_US + SECOND_US);
 	}
 	EXPECT_FALSE(vm.bars(REQUEST));
-	EXPECT_EQ(comet_crashes_count(vm.crashes).suspects, 0U);
+	EXPECT_EQ(comet_crash_tracker_count(vm.crash_tracker).crash_suspects, 0U);
 }
 
 /* A run whose end is noticed after that of its process, as in silence. */
@@ -155,10 +160,11 @@
 {
 	Vm vm;
 
-	for (uint32_t life = 1; life <= 3; life++)
+	for (uint32_t incarnation_key = 1; incarnation_key <= 3; incarnation_key++)
 	{
-		comet_crashes_life_ended(vm.crashes, life, MINUTE_US, MINUTE_US + 1);
-		vm.suspect(REQUEST, life, MINUTE_US, MINUTE_US + SECOND_US);
+		comet_crash_tracker_process_crashed(
+			vm.crash_tracker, incarnation_key, MINUTE_US, MINUTE_US + 1);
+		vm.suspect(REQUEST, incarnation_key, MINUTE_US, MINUTE_US + SECOND_US);
 	}
 	EXPECT_TRUE(vm.bars(REQUEST));
 }
@@ -172,12 +178,14 @@
 	vm.suspect(REQUEST, 2, MINUTE_US, MINUTE_US);
 	vm.suspect(REQUEST, 3, MINUTE_US, MINUTE_US);
 	vm.suspect(REQUEST, 4, MINUTE_US, MINUTE_US, true);
-	EXPECT_FALSE(
-		comet_crashes_doubts(vm.crashes, &REQUEST, MINUTE_US)); /* nothing has crashed */
+	EXPECT_FALSE(comet_crash_tracker_is_undecided(
+		vm.crash_tracker, &REQUEST, MINUTE_US)); /* nothing has crashed */
 	vm.crash(REQUEST, 1, MINUTE_US);
-	EXPECT_TRUE(comet_crashes_doubts(vm.crashes, &REQUEST, MINUTE_US + SECOND_US));
+	EXPECT_TRUE(comet_crash_tracker_is_undecided(
+		vm.crash_tracker, &REQUEST, MINUTE_US + SECOND_US));
 	EXPECT_FALSE(vm.bars(REQUEST));
-	EXPECT_FALSE(comet_crashes_doubts(vm.crashes, &REQUEST, MINUTE_US + 6 * SECOND_US));
+	EXPECT_FALSE(comet_crash_tracker_is_undecided(
+		vm.crash_tracker, &REQUEST, MINUTE_US + 6 * SECOND_US));
 }
 
 TEST(Crashes, ACancelledRunRaisesNoDoubt)
@@ -185,9 +193,9 @@
 	Vm vm;
 
 	vm.crash(REQUEST, 1, MINUTE_US);
-	for (uint32_t life = 2; life <= 9; life++)
-		vm.suspect(REQUEST, life, MINUTE_US, MINUTE_US, true);
-	EXPECT_FALSE(comet_crashes_doubts(vm.crashes, &REQUEST, MINUTE_US));
+	for (uint32_t incarnation_key = 2; incarnation_key <= 9; incarnation_key++)
+		vm.suspect(REQUEST, incarnation_key, MINUTE_US, MINUTE_US, true);
+	EXPECT_FALSE(comet_crash_tracker_is_undecided(vm.crash_tracker, &REQUEST, MINUTE_US));
 }
 
 TEST(Crashes, AnEndLongAfterTheRunIsNotItsDoing)
@@ -195,23 +203,24 @@
 	Vm vm;
 
 	vm.suspect(REQUEST, 1, MINUTE_US, MINUTE_US);
-	comet_crashes_tick(vm.crashes, MINUTE_US + 20 * SECOND_US);
-	comet_crashes_life_ended(vm.crashes, 1, MINUTE_US, MINUTE_US + 21 * SECOND_US);
-	EXPECT_EQ(comet_crashes_count(vm.crashes).records, 0U);
+	comet_crash_tracker_tick(vm.crash_tracker, MINUTE_US + 20 * SECOND_US);
+	comet_crash_tracker_process_crashed(
+		vm.crash_tracker, 1, MINUTE_US, MINUTE_US + 21 * SECOND_US);
+	EXPECT_EQ(comet_crash_tracker_count(vm.crash_tracker).records, 0U);
 }
 
 TEST(Crashes, WhatIsServedIsExcused)
 {
 	Vm vm;
 
-	for (uint32_t life = 1; life <= 4; life++)
-		vm.crash(REQUEST, life, MINUTE_US);
+	for (uint32_t incarnation_key = 1; incarnation_key <= 4; incarnation_key++)
+		vm.crash(REQUEST, incarnation_key, MINUTE_US);
 	ASSERT_TRUE(vm.bars(REQUEST));
-	comet_crashes_served(vm.crashes, &REQUEST, 2 * MINUTE_US);
+	comet_crash_tracker_served(vm.crash_tracker, &REQUEST, 2 * MINUTE_US);
 	EXPECT_FALSE(vm.bars(REQUEST));
 	/* crashes after that count anew, once it was not served for a while */
-	for (uint32_t life = 11; life <= 13; life++)
-		vm.crash(REQUEST, life, 3 * MINUTE_US);
+	for (uint32_t incarnation_key = 11; incarnation_key <= 13; incarnation_key++)
+		vm.crash(REQUEST, incarnation_key, 3 * MINUTE_US);
 	EXPECT_TRUE(vm.bars(REQUEST));
 }
 
@@ -220,13 +229,13 @@
 {
 	Vm vm;
 
-	for (uint32_t life = 1; life <= 200; life++)
+	for (uint32_t incarnation_key = 1; incarnation_key <= 200; incarnation_key++)
 	{
-		uint64_t now_us = MINUTE_US + life * SECOND_US;
-		if (life % 10 == 1)
-			comet_crashes_served(vm.crashes, &REQUEST, now_us);
-		vm.crash(REQUEST, life, now_us);
-		ASSERT_FALSE(vm.bars(REQUEST)) << life;
+		uint64_t now_us = MINUTE_US + incarnation_key * SECOND_US;
+		if (incarnation_key % 10 == 1)
+			comet_crash_tracker_served(vm.crash_tracker, &REQUEST, now_us);
+		vm.crash(REQUEST, incarnation_key, now_us);
+		ASSERT_FALSE(vm.bars(REQUEST)) << incarnation_key;
 	}
 }
 
@@ -236,9 +245,9 @@
 	Vm one;
 	Vm two;
 
-	comet_crashes_served(two.crashes, &REQUEST, MINUTE_US);
-	for (uint32_t life = 1; life <= 3; life++)
-		one.crash(REQUEST, life, MINUTE_US + SECOND_US);
+	comet_crash_tracker_served(two.crash_tracker, &REQUEST, MINUTE_US);
+	for (uint32_t incarnation_key = 1; incarnation_key <= 3; incarnation_key++)
+		one.crash(REQUEST, incarnation_key, MINUTE_US + SECOND_US);
 	ASSERT_TRUE(one.bars(REQUEST));
 	one.tell(two, MINUTE_US + 2 * SECOND_US);
 	two.tell(one, MINUTE_US + 3 * SECOND_US);
@@ -252,12 +261,13 @@
 	Vm vm;
 	const comet_fingerprint beside = {88, 2};
 
-	for (uint32_t life = 1; life <= 4; life++)
+	for (uint32_t incarnation_key = 1; incarnation_key <= 4; incarnation_key++)
 	{
-		vm.suspect(REQUEST, life, MINUTE_US, MINUTE_US);
-		if (life > 2)
-			vm.suspect(beside, life, MINUTE_US, MINUTE_US);
-		comet_crashes_life_ended(vm.crashes, life, MINUTE_US, MINUTE_US + SECOND_US);
+		vm.suspect(REQUEST, incarnation_key, MINUTE_US, MINUTE_US);
+		if (incarnation_key > 2)
+			vm.suspect(beside, incarnation_key, MINUTE_US, MINUTE_US);
+		comet_crash_tracker_process_crashed(
+			vm.crash_tracker, incarnation_key, MINUTE_US, MINUTE_US + SECOND_US);
 	}
 	EXPECT_TRUE(vm.bars(REQUEST));
 	EXPECT_FALSE(vm.bars(beside));
@@ -285,7 +295,8 @@
 			if (draw() % 8 == 0)
 				vm.crash(requests[draw() % 8], 1 + draw() % 12, now_us);
 			else if (draw() % 60 == 0)
-				comet_crashes_served(vm.crashes, &requests[draw() % 4], now_us);
+				comet_crash_tracker_served(
+					vm.crash_tracker, &requests[draw() % 4], now_us);
 			else
 				vm.tell(vms[draw() % 5], now_us);
 		}
@@ -310,11 +321,11 @@
 	Vm started;
 
 	for (uint32_t i = 0; i < 300; i++)
-		for (uint32_t life = 1; life <= 3; life++)
-			old.crash({1000 + i, i % 20}, 10 * i + life, MINUTE_US);
+		for (uint32_t incarnation_key = 1; incarnation_key <= 3; incarnation_key++)
+			old.crash({1000 + i, i % 20}, 10 * i + incarnation_key, MINUTE_US);
 	for (uint64_t view = 0; view < 200; view++)
 		old.tell(started, 2 * MINUTE_US + view * SECOND_US / 10);
-	EXPECT_EQ(comet_crashes_count(started.crashes).barred, 300U);
+	EXPECT_EQ(comet_crash_tracker_count(started.crash_tracker).barred, 300U);
 }
 
 /* What is told back and forth for hours ends. */
@@ -324,8 +335,8 @@
 	Vm two;
 	uint64_t now_us = MINUTE_US;
 
-	for (uint32_t life = 1; life <= 3; life++)
-		one.crash(REQUEST, life, now_us);
+	for (uint32_t incarnation_key = 1; incarnation_key <= 3; incarnation_key++)
+		one.crash(REQUEST, incarnation_key, now_us);
 	for (int i = 0; i < 3590; i++)
 	{
 		now_us += SECOND_US;
@@ -338,8 +349,8 @@
 		now_us += SECOND_US;
 		one.tell(two, now_us);
 		two.tell(one, now_us);
-		comet_crashes_tick(one.crashes, now_us);
-		comet_crashes_tick(two.crashes, now_us);
+		comet_crash_tracker_tick(one.crash_tracker, now_us);
+		comet_crash_tracker_tick(two.crash_tracker, now_us);
 	}
 	EXPECT_FALSE(one.bars(REQUEST));
 	EXPECT_FALSE(two.bars(REQUEST));
@@ -350,16 +361,16 @@
 {
 	Vm vm;
 
-	for (uint32_t life = 1; life <= 3; life++)
-		vm.crash(REQUEST, life, MINUTE_US);
+	for (uint32_t incarnation_key = 1; incarnation_key <= 3; incarnation_key++)
+		vm.crash(REQUEST, incarnation_key, MINUTE_US);
 	for (uint32_t i = 0; i < 5000; i++)
 		vm.crash({1000 + i, 9}, 100 + i, 2 * MINUTE_US);
 	EXPECT_TRUE(vm.bars(REQUEST));
-	EXPECT_LE(comet_crashes_count(vm.crashes).records, 65U);
+	EXPECT_LE(comet_crash_tracker_count(vm.crash_tracker).records, 65U);
 	for (uint32_t team = 10; team < 90; team++)
 		for (uint32_t i = 0; i < 64; i++)
 			vm.crash({10000 + i, team}, 100000 + team * 64 + i, 2 * MINUTE_US);
-	EXPECT_LE(comet_crashes_count(vm.crashes).records, 4096U);
+	EXPECT_LE(comet_crash_tracker_count(vm.crash_tracker).records, 4096U);
 	EXPECT_TRUE(vm.bars(REQUEST)); /* weaker ones went first */
 }
 
@@ -373,16 +384,16 @@
 		const comet_fingerprint other = {i, 9};
 		vm.suspect(other, 2, MINUTE_US, MINUTE_US);
 	}
-	EXPECT_LE(comet_crashes_count(vm.crashes).suspects, 257U);
-	comet_crashes_life_ended(vm.crashes, 1, MINUTE_US, MINUTE_US + SECOND_US);
-	EXPECT_EQ(
-		comet_crashes_count(vm.crashes).records, 1U); /* one team's pushed out no other's */
+	EXPECT_LE(comet_crash_tracker_count(vm.crash_tracker).crash_suspects, 257U);
+	comet_crash_tracker_process_crashed(vm.crash_tracker, 1, MINUTE_US, MINUTE_US + SECOND_US);
+	EXPECT_EQ(comet_crash_tracker_count(vm.crash_tracker).records,
+		1U); /* one team's pushed out no other's */
 	for (uint32_t i = 0; i < 10000; i++)
 	{
 		const comet_fingerprint other = {i, i % 50};
 		vm.suspect(other, 2, MINUTE_US, MINUTE_US);
 	}
-	EXPECT_LE(comet_crashes_count(vm.crashes).suspects, 1024U);
+	EXPECT_LE(comet_crash_tracker_count(vm.crash_tracker).crash_suspects, 1024U);
 }
 
 /* One team's news does not keep another's from being told. */
@@ -393,8 +404,8 @@
 
 	for (uint32_t i = 0; i < 60; i++)
 		one.crash({1000 + i, 9}, 100 + i, MINUTE_US);
-	for (uint32_t life = 1; life <= 3; life++)
-		one.crash(REQUEST, life, MINUTE_US);
+	for (uint32_t incarnation_key = 1; incarnation_key <= 3; incarnation_key++)
+		one.crash(REQUEST, incarnation_key, MINUTE_US);
 	for (uint64_t view = 0; view < 30; view++)
 		one.tell(two, MINUTE_US + view * SECOND_US / 10);
 	EXPECT_TRUE(two.bars(REQUEST));
--- a/tests/unit/test_documents.cc
+++ b/tests/unit/test_documents.cc
@@ -6,7 +6,7 @@
 
 extern "C"
 {
-#include <platform/documents.h>
+#include <platform/document_parser.h>
 #include <platform/server_entry.h>
 }
 #include <map>
@@ -41,7 +41,7 @@
 	EXPECT_TRUE(stream->resumable);
 	EXPECT_EQ(stream->aim_ms, 800U);
 	EXPECT_EQ(stream->gap_ms, 400U);
-	EXPECT_TRUE(comet_route_repeatable(stream));
+	EXPECT_TRUE(comet_route_is_retryable(stream));
 	const comet_route *split = comet_route_table_find(table, "a.example", "/q/1");
 	EXPECT_TRUE(split->open);
 	EXPECT_EQ(split->n_shares, 2U);
@@ -138,7 +138,8 @@
 	*static_cast<std::string *>(ctx) =
 		std::string(record->id) + " " + record->service + " " + record->address + " " +
 		std::to_string(record->slots) + (record->draining ? " draining" : "") +
-		(record->born_ms != 0 ? " " + std::to_string(record->born_ms) : "");
+		(record->process_start_ms != 0 ? " " + std::to_string(record->process_start_ms)
+					       : "");
 }
 
 /* Why a server's entry is refused; "" when it is taken, and then seen holds what was read. */
--- a/tests/unit/test_evacuations.cc
+++ b/tests/unit/test_evacuations.cc
@@ -67,13 +67,13 @@
 {
 	add("a", "z1");
 	comet_evacuations_order(evacuations, "z1");
-	comet_evacuations_doubt(evacuations, "z1", now_us + 1000);
+	comet_evacuations_schedule_expiry(evacuations, "z1", now_us + 1000);
 	comet_evacuations_tick(evacuations, now_us + 999);
 	EXPECT_TRUE(restored.empty());
 	EXPECT_FALSE(comet_evacuations_order(evacuations, "z1"));
 	comet_evacuations_tick(evacuations, now_us + 1000);
 	EXPECT_TRUE(restored.empty());
-	comet_evacuations_doubt(evacuations, "z1", now_us + 1000);
+	comet_evacuations_schedule_expiry(evacuations, "z1", now_us + 1000);
 	comet_evacuations_tick(evacuations, now_us + 1000);
 	EXPECT_EQ(restored.size(), 1U);
 }
@@ -108,7 +108,7 @@
 {
 	comet_instance *only = add("a", "z1");
 	comet_evacuations_order(evacuations, "z1");
-	only->avoid_us = now_us - 1;
+	only->ejected_until_us = now_us - 1;
 	comet_placement_item one = item(0);
 	one.repeatable = true;
 	EXPECT_EQ(sent_to(&one), "");
@@ -126,7 +126,7 @@
 	all.pass(50000);
 	EXPECT_EQ(all.total(), 0U);
 	for (const char *id : {"i0", "i1"})
-		EXPECT_EQ(comet_instance_kept_load(
+		EXPECT_EQ(comet_instance_owned_load(
 				  comet_instances_find(all.vms[keeper].instances, id), all.now_us),
 			0U);
 }
--- a/tests/unit/test_event_stream.cc
+++ b/tests/unit/test_event_stream.cc
@@ -28,7 +28,7 @@
 		size_t ready = comet_event_stream_add(stream, at, 1);
 		passed.append(comet_event_stream_ready(stream), ready);
 		if (ready > 0)
-			comet_event_stream_taken(stream);
+			comet_event_stream_consume(stream);
 	}
 	EXPECT_EQ(passed, "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n");
 	EXPECT_STREQ(comet_event_stream_last_id(stream), "2");
@@ -52,7 +52,7 @@
 		size_t ready = comet_event_stream_add(stream, text.data() + at, length);
 		passed.append(comet_event_stream_ready(stream), ready);
 		if (ready > 0)
-			comet_event_stream_taken(stream);
+			comet_event_stream_consume(stream);
 		*held = std::max(*held, at + length - passed.size());
 	}
 	return passed;
--- a/tests/unit/test_floor.cc
+++ b/tests/unit/test_floor.cc
@@ -8,7 +8,7 @@
 
 extern "C"
 {
-#include <libcometspindle/floor.h>
+#include <libcometspindle/load_shedding.h>
 }
 
 struct Message
@@ -24,7 +24,7 @@
 {
 	static constexpr size_t n = 4;
 	static constexpr uint32_t tiers = 4;
-	struct comet_floor floor[n];
+	struct comet_load_shedding floor[n];
 	struct comet_member member[n][n];
 	uint64_t now = 1000000;
 	std::vector<Message> wire;
@@ -37,7 +37,7 @@
 	{
 		memset(member, 0, sizeof member);
 		for (auto &one : floor)
-			comet_floor_init(&one, tiers);
+			comet_load_shedding_init(&one, tiers);
 		for (int i = 0; i < 200; i++)
 			step();
 	}
@@ -92,7 +92,7 @@
 				wire.erase(wire.begin() + (long)m);
 				receive(message);
 			}
-			comet_floor_tick(&floor[i], others, count, now);
+			comet_load_shedding_tick(&floor[i], others, count, now);
 			for (size_t k = 0; k < n; k++)
 			{
 				if (k != i && now / 20000 % 5 == i)
@@ -117,7 +117,7 @@
 
 	for (int i = 0; i < 1000; i++)
 	{
-		comet_floor_press(&fleet.floor[0], 1, fleet.now);
+		comet_load_shedding_request(&fleet.floor[0], 1, fleet.now);
 		fleet.step();
 		fleet.check(1);
 	}
@@ -140,7 +140,7 @@
 	fleet.cut = true;
 	for (int i = 0; i < 1000; i++)
 	{
-		comet_floor_press(&fleet.floor[0], 1, fleet.now);
+		comet_load_shedding_request(&fleet.floor[0], 1, fleet.now);
 		fleet.step();
 		fleet.check(1);
 	}
@@ -156,7 +156,7 @@
 		{
 			size_t who = fleet.draw() % Fleet::n;
 			if (fleet.draw() % 3 == 0 && i / 300 % 2 == 0)
-				comet_floor_press(
+				comet_load_shedding_request(
 					&fleet.floor[who], 1 + fleet.draw() % 3, fleet.now);
 			if (fleet.draw() % 200 == 0)
 				fleet.cut = !fleet.cut;
--- a/tests/unit/test_gateway_grants.cc
+++ b/tests/unit/test_gateway_grants.cc
@@ -28,8 +28,8 @@
 			comet_instances_put(lists[vm], &record, 0);
 		}
 	}
-	const GPtrArray *first = comet_shards_of(shards[0], "llm");
-	const GPtrArray *second = comet_shards_of(shards[1], "llm");
+	const GPtrArray *first = comet_shards_for_service(shards[0], "llm");
+	const GPtrArray *second = comet_shards_for_service(shards[1], "llm");
 	ASSERT_EQ(first->len, 4U); /* 100 in each zone, at most 64 in a shard */
 	ASSERT_EQ(second->len, 4U);
 	guint members = 0;
@@ -43,10 +43,10 @@
 		members += shard->members->len;
 	}
 	EXPECT_EQ(members, 200U);
-	EXPECT_EQ(comet_shards_of(shards[0], "other"), nullptr);
+	EXPECT_EQ(comet_shards_for_service(shards[0], "other"), nullptr);
 	comet_instances_remove(lists[0], "i0");
 	members = 0;
-	first = comet_shards_of(shards[0], "llm");
+	first = comet_shards_for_service(shards[0], "llm");
 	for (guint i = 0; i < first->len; i++)
 		members += static_cast<comet_shard *>(first->pdata[i])->members->len;
 	EXPECT_EQ(members, 199U);
@@ -61,7 +61,7 @@
 	ASSERT_NE(keeper, 0U);
 	for (uint32_t vm = 2; vm <= 5; vm++)
 		EXPECT_EQ(all.keeper_of_all(vm), keeper);
-	comet_views_leave(all.vms[keeper].views, all.now_us);
+	comet_gossip_leave(all.vms[keeper].gossip, all.now_us);
 	all.deliver();
 	uint32_t other = keeper == 1 ? 2 : 1;
 	uint32_t next = all.keeper_of_all(other);
@@ -218,22 +218,22 @@
 		[](void *ctx, comet_placement_item *item, uint32_t keeper)
 		{
 			auto *one = static_cast<late_asker *>(ctx);
-			comet_placement_ask ask = {};
+			comet_slot_request ask = {};
 			one->unanswered.push_back(keeper);
 			if (keeper < 4) /* some time has passed meanwhile */
-				comet_grants_ask(one->grants, item, keeper + 1, &ask, 1040100);
+				comet_grants_request(one->grants, item, keeper + 1, &ask, 1040100);
 		},
-		[](void *, const comet_SlotAsk *, comet_placement_wait *) { return 0U; },
+		[](void *, const comet_SlotAsk *, comet_placement_wait_estimate *) { return 0U; },
 		[](void *, const comet_SlotFreed *) {},
 	};
 	late_asker one;
-	comet_placement_ask ask = {};
+	comet_slot_request ask = {};
 	one.grants = comet_grants_create(nullptr, 9, &ops, &one);
-	comet_grants_ask(one.grants, &one.item, 1, &ask, 1000000);
+	comet_grants_request(one.grants, &one.item, 1, &ask, 1000000);
 	EXPECT_TRUE(comet_grants_tick(one.grants, 1040000));
 	EXPECT_EQ(one.unanswered, std::vector<uint32_t>{1});
-	EXPECT_TRUE(comet_grants_is_mute(one.grants, 1, 1040000));
-	EXPECT_FALSE(comet_grants_is_mute(one.grants, 2, 1040000));
+	EXPECT_TRUE(comet_grants_is_unresponsive(one.grants, 1, 1040000));
+	EXPECT_FALSE(comet_grants_is_unresponsive(one.grants, 2, 1040000));
 	talloc_free(one.grants);
 }
 
@@ -254,11 +254,11 @@
 	};
 	all.submit(asker);
 	all.pass(50000);
-	EXPECT_TRUE(comet_grants_is_mute(all.vms[asker].grants, keeper, all.now_us));
+	EXPECT_TRUE(comet_grants_is_unresponsive(all.vms[asker].grants, keeper, all.now_us));
 	all.lost = [](const mail &) { return false; };
 	for (const mail &one : held)
 		all.arrive(one);
-	EXPECT_FALSE(comet_grants_is_mute(all.vms[asker].grants, keeper, all.now_us));
+	EXPECT_FALSE(comet_grants_is_unresponsive(all.vms[asker].grants, keeper, all.now_us));
 	comet_placement_item *next = all.submit(asker);
 	all.deliver();
 	EXPECT_EQ(next->keeper, keeper);
@@ -271,7 +271,7 @@
 	uint32_t asker = keeper == 1 ? 2 : 1;
 	comet_placement_item *item = all.submit(asker);
 	EXPECT_TRUE(item->asking);
-	comet_placement_withdraw(all.vms[asker].placement, item); /* its caller left */
+	comet_placement_cancel(all.vms[asker].placement, item); /* its caller left */
 	all.deliver();
 	EXPECT_TRUE(all.vms[asker].sent.empty());
 	const comet_instance *kept = comet_instances_find(all.vms[keeper].instances, "i0");
@@ -328,14 +328,14 @@
 
 	/* and now the keeper, which is then told that a slot of the earlier life is free */
 	known = comet_instances_put(all.vms[keeper].instances, &later, all.now_us);
-	EXPECT_EQ(comet_instance_kept_load(known, all.now_us), 0U);
-	comet_views_granted(all.vms[keeper].views, asker, known->key, 100, all.now_us);
+	EXPECT_EQ(comet_instance_owned_load(known, all.now_us), 0U);
+	comet_gossip_slot_granted(all.vms[keeper].gossip, asker, known->key, 100, all.now_us);
 	comet_grants_release(all.vms[asker].grants, keeper, earlier, nullptr);
 	all.deliver();
-	EXPECT_EQ(comet_instance_kept_load(known, all.now_us), 1U);
+	EXPECT_EQ(comet_instance_owned_load(known, all.now_us), 1U);
 	comet_grants_release(all.vms[asker].grants, keeper, known->key, nullptr);
 	all.deliver();
-	EXPECT_EQ(comet_instance_kept_load(known, all.now_us), 0U);
+	EXPECT_EQ(comet_instance_owned_load(known, all.now_us), 0U);
 }
 
 TEST(Grants, LostWordsOfFreedSlotsAreMadeGoodByViews)
--- a/tests/unit/test_gateway_in_time.cc
+++ b/tests/unit/test_gateway_in_time.cc
@@ -13,11 +13,11 @@
       protected:
 	/* Its answer should begin by then. */
 	comet_placement_item
-	aimed(uint32_t rank, uint64_t aim_us)
+	aimed(uint32_t rank, uint64_t soft_deadline_us)
 	{
 		comet_placement_item one = item(rank);
-		one.latest_us = now_us + 20000000;
-		one.aim_us = now_us + aim_us;
+		one.dispatch_deadline_us = now_us + 20000000;
+		one.soft_deadline_us = now_us + soft_deadline_us;
 		return one;
 	}
 
--- a/tests/unit/test_gateway_orders.cc
+++ b/tests/unit/test_gateway_orders.cc
@@ -94,7 +94,7 @@
 	if (vms.vms[leaver].sent.count(leaving) > 0)
 		vms.end(leaver, leaving);
 	else
-		comet_placement_withdraw(vms.vms[leaver].placement, leaving);
+		comet_placement_cancel(vms.vms[leaver].placement, leaving);
 	return true;
 }
 
@@ -149,8 +149,8 @@
 	{
 		for (int i = 0; i < at_once; i++)
 		{
-			if (comet_allowance_spend(one.second.allowance, team, 0, tokens,
-				    COMET_ALLOWANCE_BY_VIEWS, vms.now_us) == 0)
+			if (comet_rate_limiter_spend(one.second.rate_limiter, team, 0, tokens,
+				    COMET_RATE_LIMITER_GOSSIP, vms.now_us) == 0)
 				spent += (double)tokens;
 		}
 	}
@@ -185,7 +185,7 @@
 			spent += spend_all(vms, 300, 3);
 			vms.now_us += 100000;
 			for (auto &one : vms.vms)
-				comet_views_tick(one.second.views, vms.now_us);
+				comet_gossip_tick(one.second.gossip, vms.now_us);
 			vms.deliver();
 		}
 		most = std::max(most, spent);
--- a/tests/unit/test_gateway_placement.cc
+++ b/tests/unit/test_gateway_placement.cc
@@ -50,7 +50,7 @@
 	std::vector<comet_placement_item> low(4, item(2));
 	for (auto &one : low)
 	{
-		one.latest_us = now_us + 20000000;
+		one.dispatch_deadline_us = now_us + 20000000;
 		comet_placement_submit(placement, &one, now_us);
 	}
 	EXPECT_EQ(dispatched.size(), 2U);
@@ -96,12 +96,12 @@
 	for (auto &one : running)
 		comet_placement_submit(placement, &one, now_us);
 	comet_placement_item first = item(2);
-	first.latest_us = now_us + 1800000;
+	first.dispatch_deadline_us = now_us + 1800000;
 	comet_placement_submit(placement, &first, now_us);
 	EXPECT_EQ(waiting("llm"), 1U);
 	now_us += 1000000; /* nothing of its rank got a slot in this time */
 	comet_placement_item second = item(2);
-	second.latest_us = now_us + 1800000;
+	second.dispatch_deadline_us = now_us + 1800000;
 	comet_placement_submit(placement, &second, now_us);
 	ASSERT_EQ(refused.size(), 1U);
 	EXPECT_EQ(refused[0].first, &second);
@@ -115,7 +115,7 @@
 		comet_placement_run(placement, now_us);
 		now_us += 100000;
 		auto *next = new comet_placement_item(item(2));
-		next->latest_us = now_us + 1800000;
+		next->dispatch_deadline_us = now_us + 1800000;
 		later.emplace_back(next);
 		comet_placement_submit(placement, next, now_us);
 	}
@@ -207,7 +207,7 @@
 	now_us += 100001;
 	comet_placement_run(placement, now_us);
 	ASSERT_EQ(dispatched.size(), 2U);
-	end(dispatched.back(), COMET_DISPATCH_WRONG);
+	end(dispatched.back(), COMET_DISPATCH_WRONG_INSTANCE);
 	now_us += 10000000;
 	comet_placement_item three = item(0);
 	three.repeatable = true;
@@ -221,12 +221,12 @@
 {
 	comet_instance *instance = add("a");
 
-	comet_instance_heard(instance, now_us + 300000);
-	EXPECT_FALSE(comet_instance_doubt(instance, now_us, now_us + 600000));
+	comet_instance_seen(instance, now_us + 300000);
+	EXPECT_FALSE(comet_instance_eject_if_silent(instance, now_us, now_us + 600000));
 	comet_placement_item one = item(0);
 	comet_placement_submit(placement, &one, now_us + 600000);
 	EXPECT_EQ(dispatched.size(), 1U);
-	EXPECT_TRUE(comet_instance_doubt(instance, now_us + 400000, now_us + 1000000));
+	EXPECT_TRUE(comet_instance_eject_if_silent(instance, now_us + 400000, now_us + 1000000));
 	comet_placement_item two = item(0);
 	comet_placement_submit(placement, &two, now_us + 1000000);
 	EXPECT_EQ(dispatched.size(), 1U);
@@ -236,11 +236,11 @@
 {
 	comet_instance *instance = add("a");
 	instance->others = 2;
-	instance->others_us = now_us;
+	instance->gossip_us = now_us;
 	EXPECT_EQ(comet_instance_load(instance, now_us), 2U);
 	/* fresh word from the endpoint itself goes before, and our own sends since are added */
-	comet_instance_told(instance, 5, now_us);
-	comet_job job = {10, 10, 10, true};
+	comet_instance_load_reported(instance, 5, now_us);
+	comet_request_size job = {10, 10, 10, true};
 	comet_instance_started(instance, &job);
 	EXPECT_EQ(comet_instance_load(instance, now_us + 1), 6U);
 	/* it ages sooner than views do; and old views say nothing either */
@@ -255,28 +255,28 @@
 {
 	static int grants;
 	comet_placement_ops ops = {};
-	ops.grant = [](void *, const comet_placement_ask *, comet_instance *instance)
+	ops.grant = [](void *, const comet_slot_request *, comet_instance *instance)
 	{
 		instance->own++;
 		grants++;
 	};
 	comet_placement *keeper = comet_placement_create(instances, instances, &ops, this, 1);
 	comet_instance *one = add("i-1");
-	comet_placement_ask ask = {};
-	comet_placement_wait wait = {};
+	comet_slot_request ask = {};
+	comet_placement_wait_estimate wait = {};
 	int waiting = 0;
 
 	grants = 0;
 	ask.job = {1000, 100, 100, true};
 	ask.wait_us = 1000ULL * UINT32_MAX;
-	comet_placement_choose_for(keeper, &ask, now_us, &wait); /* shards are formed */
+	comet_placement_choose_remote(keeper, &ask, now_us, &wait); /* shards are formed */
 	EXPECT_FALSE(wait.waits);
 	ask.shard = one->shard;
 	one->own = 2;
 	for (uint64_t number = 1; number <= 10000; number++)
 	{
 		ask.number = number;
-		EXPECT_EQ(comet_placement_choose_for(keeper, &ask, now_us, &wait), nullptr);
+		EXPECT_EQ(comet_placement_choose_remote(keeper, &ask, now_us, &wait), nullptr);
 		waiting += wait.waits ? 1 : 0;
 	}
 	EXPECT_EQ(waiting, 8192);
--- a/tests/unit/test_gateway_routes.cc
+++ b/tests/unit/test_gateway_routes.cc
@@ -6,11 +6,11 @@
 
 extern "C"
 {
-#include <libcometspindle/gateway/admission/allowance.h>
+#include <libcometspindle/gateway/admission/rate_limiter.h>
 #include <libcometspindle/gateway/admission/retry_budget.h>
 #include <libcometspindle/gateway/routing/routes.h>
 #include <libcometspindle/gateway/settings.h>
-#include <libcometspindle/gateway/wire_names.h>
+#include <libcometspindle/gateway/header_names.h>
 #include <libcometspindle/hash.h>
 }
 #include <algorithm>
@@ -159,7 +159,7 @@
 	const uint64_t views_us = 100000;
 	table_builder builder;
 	uint32_t id = comet_hash_name("t");
-	std::vector<comet_allowance *> all;
+	std::vector<comet_rate_limiter *> all;
 	std::vector<uint64_t> untold;
 	std::vector<uint64_t> by_step; /* spent in each step, over all VMs */
 
@@ -172,17 +172,17 @@
 
 	~spenders()
 	{
-		for (comet_allowance *one : all)
+		for (comet_rate_limiter *one : all)
 			talloc_free(one);
 		comet_route_table_unref(builder.table);
 	}
 
-	comet_allowance *
+	comet_rate_limiter *
 	start(uint64_t now_us) const
 	{
-		comet_allowance_bounds bounds = {8000, 0.25, 1000};
-		comet_allowance *one = comet_allowance_create(nullptr, &bounds, now_us);
-		comet_allowance_set_teams(one, builder.table, now_us);
+		comet_rate_limiter_config bounds = {8000, 0.25, 1000};
+		comet_rate_limiter *one = comet_rate_limiter_create(nullptr, &bounds, now_us);
+		comet_rate_limiter_set_teams(one, builder.table, now_us);
 		return one;
 	}
 
@@ -197,24 +197,24 @@
 	tell(uint64_t now_us)
 	{
 		uint64_t recent = 0;
-		auto visit = [](void *ctx, const comet_allowance_report *report)
+		auto visit = [](void *ctx, const comet_rate_limiter_report *report)
 		{
 			auto *most = static_cast<uint64_t *>(ctx);
 			*most = std::max(*most, report->recent);
 		};
-		for (comet_allowance *one : all)
-			comet_allowance_each(one, now_us, visit, &recent);
+		for (comet_rate_limiter *one : all)
+			comet_rate_limiter_each(one, now_us, visit, &recent);
 		for (size_t i = 0; i < all.size(); i++)
 		{
 			for (size_t j = 0; j < all.size(); j++)
 			{
 				if (i != j)
-					comet_allowance_spent_elsewhere(
+					comet_rate_limiter_merge_remote(
 						all[j], 1, id, untold[i], now_us);
 			}
 			if (recent > 0)
-				comet_allowance_told_recent(all[i], id, recent, now_us);
-			comet_allowance_told(all[i]);
+				comet_rate_limiter_merge_total(all[i], id, recent, now_us);
+			comet_rate_limiter_mark_reported(all[i]);
 			untold[i] = 0;
 		}
 	}
@@ -227,10 +227,11 @@
 			by_step.push_back(0);
 			for (size_t i = 0; i < all.size(); i++)
 			{
-				comet_allowance_set_vms(all[i], hearing ? (uint32_t)all.size() : 1,
-					(uint32_t)all.size(), 0);
-				while (comet_allowance_spend(all[i], id, 0, 20,
-					       COMET_ALLOWANCE_BY_VIEWS, now) == 0)
+				comet_rate_limiter_set_vms(all[i],
+					hearing ? (uint32_t)all.size() : 1, (uint32_t)all.size(),
+					0);
+				while (comet_rate_limiter_spend(all[i], id, 0, 20,
+					       COMET_RATE_LIMITER_GOSSIP, now) == 0)
 				{
 					by_step.back() += 20;
 					untold[i] += 20;
@@ -308,59 +309,64 @@
 
 TEST(Allowance, ARefusalTellsWhenToComeBack)
 {
-	comet_allowance_bounds bounds = {8000, 0, 0};
+	comet_rate_limiter_config bounds = {8000, 0, 0};
 	table_builder builder(1);
 	builder.team("t", "k", 100, 200);
-	comet_allowance *allowance = comet_allowance_create(nullptr, &bounds, 0);
+	comet_rate_limiter *rate_limiter = comet_rate_limiter_create(nullptr, &bounds, 0);
 	uint32_t id = comet_hash_name("t");
-	comet_allowance_set_teams(allowance, builder.table, 0);
+	comet_rate_limiter_set_teams(rate_limiter, builder.table, 0);
 
 	uint64_t now_us = 20000000; /* a span after its start, nothing is assumed any more */
-	EXPECT_EQ(
-		comet_allowance_spend(allowance, id, 0, 900, COMET_ALLOWANCE_BY_VIEWS, now_us), 0U);
-	EXPECT_EQ(comet_allowance_spend(
-			  allowance, id, 0, 100, COMET_ALLOWANCE_BY_VIEWS, now_us + 4000000),
+	EXPECT_EQ(comet_rate_limiter_spend(
+			  rate_limiter, id, 0, 900, COMET_RATE_LIMITER_GOSSIP, now_us),
 		0U);
-	uint32_t wait_ms = comet_allowance_spend(
-		allowance, id, 0, 50, COMET_ALLOWANCE_BY_VIEWS, now_us + 4000000);
+	EXPECT_EQ(comet_rate_limiter_spend(
+			  rate_limiter, id, 0, 100, COMET_RATE_LIMITER_GOSSIP, now_us + 4000000),
+		0U);
+	uint32_t wait_ms = comet_rate_limiter_spend(
+		rate_limiter, id, 0, 50, COMET_RATE_LIMITER_GOSSIP, now_us + 4000000);
 	EXPECT_GE(wait_ms, 3500U);
 	EXPECT_LE(wait_ms, 4500U);
-	EXPECT_EQ(comet_allowance_spend(allowance, id, 0, 50, COMET_ALLOWANCE_BY_VIEWS,
+	EXPECT_EQ(comet_rate_limiter_spend(rate_limiter, id, 0, 50, COMET_RATE_LIMITER_GOSSIP,
 			  now_us + 4000000 + wait_ms * 1000),
 		0U);
 	/* more than the limit goes out of an untouched one */
-	EXPECT_EQ(comet_allowance_spend(
-			  allowance, id, 0, 5000, COMET_ALLOWANCE_BY_VIEWS, now_us + 60000000),
+	EXPECT_EQ(comet_rate_limiter_spend(
+			  rate_limiter, id, 0, 5000, COMET_RATE_LIMITER_GOSSIP, now_us + 60000000),
 		0U);
-	EXPECT_GT(comet_allowance_spend(
-			  allowance, id, 0, 1, COMET_ALLOWANCE_BY_VIEWS, now_us + 60000000),
+	EXPECT_GT(comet_rate_limiter_spend(
+			  rate_limiter, id, 0, 1, COMET_RATE_LIMITER_GOSSIP, now_us + 60000000),
 		7000U);
-	talloc_free(allowance);
+	talloc_free(rate_limiter);
 	comet_route_table_unref(builder.table);
 }
 
 /* Found in a log: a limit that fell to a quarter shut its team out for the rest of the span. */
 TEST(Allowance, WhatWasSpentUnderAHigherLimitCountsForAsMuchOfALowerOne)
 {
-	comet_allowance_bounds bounds = {8000, 0, 0};
+	comet_rate_limiter_config bounds = {8000, 0, 0};
 	table_builder high(1);
 	table_builder low(2);
 	high.team("t", "k", 1000, 0);
 	low.team("t", "k", 250, 0);
-	comet_allowance *allowance = comet_allowance_create(nullptr, &bounds, 0);
+	comet_rate_limiter *rate_limiter = comet_rate_limiter_create(nullptr, &bounds, 0);
 	uint32_t id = comet_hash_name("t");
-	comet_allowance_set_teams(allowance, high.table, 0);
-	EXPECT_EQ(comet_allowance_spend(allowance, id, 0, 4000, COMET_ALLOWANCE_BY_VIEWS, 20000000),
+	comet_rate_limiter_set_teams(rate_limiter, high.table, 0);
+	EXPECT_EQ(comet_rate_limiter_spend(
+			  rate_limiter, id, 0, 4000, COMET_RATE_LIMITER_GOSSIP, 20000000),
+		0U);
+	comet_rate_limiter_set_teams(rate_limiter, low.table, 20000000);
+	EXPECT_EQ(comet_rate_limiter_remaining(rate_limiter, id, 20000000), 1000);
+	EXPECT_EQ(comet_rate_limiter_spend(
+			  rate_limiter, id, 0, 1000, COMET_RATE_LIMITER_GOSSIP, 20000000),
 		0U);
-	comet_allowance_set_teams(allowance, low.table, 20000000);
-	EXPECT_EQ(comet_allowance_left(allowance, id, 20000000), 1000);
-	EXPECT_EQ(comet_allowance_spend(allowance, id, 0, 1000, COMET_ALLOWANCE_BY_VIEWS, 20000000),
+	EXPECT_NE(comet_rate_limiter_spend(
+			  rate_limiter, id, 0, 1, COMET_RATE_LIMITER_GOSSIP, 20000000),
 		0U);
-	EXPECT_NE(
-		comet_allowance_spend(allowance, id, 0, 1, COMET_ALLOWANCE_BY_VIEWS, 20000000), 0U);
-	comet_allowance_set_teams(allowance, high.table, 20000000);
-	EXPECT_EQ(comet_allowance_left(allowance, id, 20000000), 6000) << "a rise forgives nothing";
-	talloc_free(allowance);
+	comet_rate_limiter_set_teams(rate_limiter, high.table, 20000000);
+	EXPECT_EQ(comet_rate_limiter_remaining(rate_limiter, id, 20000000), 6000)
+		<< "a rise forgives nothing";
+	talloc_free(rate_limiter);
 	comet_route_table_unref(high.table);
 	comet_route_table_unref(low.table);
 }
@@ -368,28 +374,31 @@
 /* After a start others may be many: one large request shut its team out until all had been told. */
 TEST(Allowance, OneLargeRequestDoesNotStandForTheOthers)
 {
-	comet_allowance_bounds bounds = {8000, 0, 0};
+	comet_rate_limiter_config bounds = {8000, 0, 0};
 	table_builder builder(1);
 	builder.team("t", "k", 1000, 1000);
-	comet_allowance *allowance = comet_allowance_create(nullptr, &bounds, 0);
+	comet_rate_limiter *rate_limiter = comet_rate_limiter_create(nullptr, &bounds, 0);
 	uint32_t id = comet_hash_name("t");
-	comet_allowance_set_teams(allowance, builder.table, 0);
-	comet_allowance_set_vms(allowance, 6, 6, 0);
+	comet_rate_limiter_set_teams(rate_limiter, builder.table, 0);
+	comet_rate_limiter_set_vms(rate_limiter, 6, 6, 0);
 
 	for (int i = 0; i < 20; i++)
 	{
-		EXPECT_EQ(comet_allowance_spend(
-				  allowance, id, 0, 20, COMET_ALLOWANCE_BY_VIEWS, 20000000),
+		EXPECT_EQ(comet_rate_limiter_spend(
+				  rate_limiter, id, 0, 20, COMET_RATE_LIMITER_GOSSIP, 20000000),
 			0U);
-		comet_allowance_told(allowance);
+		comet_rate_limiter_mark_reported(rate_limiter);
 	}
-	EXPECT_EQ(comet_allowance_spend(allowance, id, 0, 2000, COMET_ALLOWANCE_BY_VIEWS, 20000000),
+	EXPECT_EQ(comet_rate_limiter_spend(
+			  rate_limiter, id, 0, 2000, COMET_RATE_LIMITER_GOSSIP, 20000000),
 		0U);
-	EXPECT_EQ(comet_allowance_spend(allowance, id, 0, 20, COMET_ALLOWANCE_BY_VIEWS, 20000000),
+	EXPECT_EQ(comet_rate_limiter_spend(
+			  rate_limiter, id, 0, 20, COMET_RATE_LIMITER_GOSSIP, 20000000),
 		0U);
-	EXPECT_EQ(comet_allowance_left(allowance, id, 20000000), 9000 - 2420 - 5 * (238 + 20))
+	EXPECT_EQ(comet_rate_limiter_remaining(rate_limiter, id, 20000000),
+		9000 - 2420 - 5 * (238 + 20))
 		<< "twice the usual amount of each counts for each of the five others";
-	talloc_free(allowance);
+	talloc_free(rate_limiter);
 	comet_route_table_unref(builder.table);
 }
 
@@ -397,39 +406,45 @@
  * kept small ones of no urgency. */
 TEST(Allowance, LessUrgentRequestsLeaveAPartToMoreUrgentOnes)
 {
-	comet_allowance_bounds bounds = {8000, 0, 0};
+	comet_rate_limiter_config bounds = {8000, 0, 0};
 	table_builder builder(1);
 	builder.team("t", "k", 1000, 2000);
-	comet_allowance *allowance = comet_allowance_create(nullptr, &bounds, 0);
+	comet_rate_limiter *rate_limiter = comet_rate_limiter_create(nullptr, &bounds, 0);
 	uint32_t id = comet_hash_name("t");
-	comet_allowance_set_teams(allowance, builder.table, 0);
+	comet_rate_limiter_set_teams(rate_limiter, builder.table, 0);
 	uint64_t now_us = 20000000;
 
 	for (int i = 0; i < 88; i++)
-		ASSERT_EQ(comet_allowance_spend(
-				  allowance, id, 0, 100, COMET_ALLOWANCE_BY_VIEWS, now_us),
+		ASSERT_EQ(comet_rate_limiter_spend(
+				  rate_limiter, id, 0, 100, COMET_RATE_LIMITER_GOSSIP, now_us),
 			0U);
-	EXPECT_NE(
-		comet_allowance_spend(allowance, id, 2, 100, COMET_ALLOWANCE_BY_VIEWS, now_us), 0U)
+	EXPECT_NE(comet_rate_limiter_spend(
+			  rate_limiter, id, 2, 100, COMET_RATE_LIMITER_GOSSIP, now_us),
+		0U)
 		<< "12% are left";
-	EXPECT_NE(
-		comet_allowance_spend(allowance, id, 7, 100, COMET_ALLOWANCE_BY_VIEWS, now_us), 0U);
-	EXPECT_EQ(comet_allowance_spend(allowance, id, 2, 10, COMET_ALLOWANCE_BY_VIEWS, now_us), 0U)
+	EXPECT_NE(comet_rate_limiter_spend(
+			  rate_limiter, id, 7, 100, COMET_RATE_LIMITER_GOSSIP, now_us),
+		0U);
+	EXPECT_EQ(comet_rate_limiter_spend(
+			  rate_limiter, id, 2, 10, COMET_RATE_LIMITER_GOSSIP, now_us),
+		0U)
 		<< "a small one";
 	for (int i = 0; i < 5; i++)
-		EXPECT_EQ(comet_allowance_spend(
-				  allowance, id, 1, 100, COMET_ALLOWANCE_BY_VIEWS, now_us),
+		EXPECT_EQ(comet_rate_limiter_spend(
+				  rate_limiter, id, 1, 100, COMET_RATE_LIMITER_GOSSIP, now_us),
 			0U);
-	EXPECT_NE(
-		comet_allowance_spend(allowance, id, 1, 100, COMET_ALLOWANCE_BY_VIEWS, now_us), 0U)
+	EXPECT_NE(comet_rate_limiter_spend(
+			  rate_limiter, id, 1, 100, COMET_RATE_LIMITER_GOSSIP, now_us),
+		0U)
 		<< "6% are left";
 	for (int i = 0; i < 6; i++)
-		EXPECT_EQ(comet_allowance_spend(
-				  allowance, id, 0, 100, COMET_ALLOWANCE_BY_VIEWS, now_us),
+		EXPECT_EQ(comet_rate_limiter_spend(
+				  rate_limiter, id, 0, 100, COMET_RATE_LIMITER_GOSSIP, now_us),
 			0U);
-	EXPECT_NE(
-		comet_allowance_spend(allowance, id, 0, 100, COMET_ALLOWANCE_BY_VIEWS, now_us), 0U);
-	talloc_free(allowance);
+	EXPECT_NE(comet_rate_limiter_spend(
+			  rate_limiter, id, 0, 100, COMET_RATE_LIMITER_GOSSIP, now_us),
+		0U);
+	talloc_free(rate_limiter);
 	comet_route_table_unref(builder.table);
 }
 
@@ -437,46 +452,52 @@
  * part that the least urgent leave, and none of them was served for a span. */
 TEST(Allowance, AfterAStartLessUrgentRequestsAreServedToo)
 {
-	comet_allowance_bounds bounds = {8000, 0, 0};
+	comet_rate_limiter_config bounds = {8000, 0, 0};
 	table_builder builder(1);
 	builder.team("t", "k", 1000, 2000);
-	comet_allowance *allowance = comet_allowance_create(nullptr, &bounds, 20000000);
+	comet_rate_limiter *rate_limiter = comet_rate_limiter_create(nullptr, &bounds, 20000000);
 	uint32_t id = comet_hash_name("t");
-	comet_allowance_set_teams(allowance, builder.table, 20000000);
-	EXPECT_EQ(comet_allowance_spend(allowance, id, 2, 100, COMET_ALLOWANCE_BY_VIEWS, 20000000),
+	comet_rate_limiter_set_teams(rate_limiter, builder.table, 20000000);
+	EXPECT_EQ(comet_rate_limiter_spend(
+			  rate_limiter, id, 2, 100, COMET_RATE_LIMITER_GOSSIP, 20000000),
 		0U);
-	EXPECT_EQ(comet_allowance_spend(allowance, id, 2, 800, COMET_ALLOWANCE_BY_VIEWS, 20000000),
+	EXPECT_EQ(comet_rate_limiter_spend(
+			  rate_limiter, id, 2, 800, COMET_RATE_LIMITER_GOSSIP, 20000000),
 		0U);
-	EXPECT_NE(comet_allowance_spend(allowance, id, 2, 200, COMET_ALLOWANCE_BY_VIEWS, 20000000),
+	EXPECT_NE(comet_rate_limiter_spend(
+			  rate_limiter, id, 2, 200, COMET_RATE_LIMITER_GOSSIP, 20000000),
 		0U)
 		<< "it is a limit still";
-	talloc_free(allowance);
+	talloc_free(rate_limiter);
 	comet_route_table_unref(builder.table);
 }
 
 TEST(Allowance, WhatWasNotRunIsGivenBack)
 {
-	comet_allowance_bounds bounds = {8000, 0, 0};
+	comet_rate_limiter_config bounds = {8000, 0, 0};
 	table_builder builder(1);
 	builder.team("t", "k", 100, 200);
-	comet_allowance *allowance = comet_allowance_create(nullptr, &bounds, 0);
+	comet_rate_limiter *rate_limiter = comet_rate_limiter_create(nullptr, &bounds, 0);
 	uint32_t id = comet_hash_name("t");
-	comet_allowance_set_teams(allowance, builder.table, 0);
+	comet_rate_limiter_set_teams(rate_limiter, builder.table, 0);
 
-	EXPECT_EQ(comet_allowance_spend(allowance, id, 0, 1000, COMET_ALLOWANCE_BY_VIEWS, 20000000),
+	EXPECT_EQ(comet_rate_limiter_spend(
+			  rate_limiter, id, 0, 1000, COMET_RATE_LIMITER_GOSSIP, 20000000),
 		0U);
-	comet_allowance_give_back(allowance, id, 1000, 20000000);
-	EXPECT_EQ(comet_allowance_spend(allowance, id, 0, 1000, COMET_ALLOWANCE_BY_VIEWS, 20000000),
+	comet_rate_limiter_refund(rate_limiter, id, 1000, 20000000);
+	EXPECT_EQ(comet_rate_limiter_spend(
+			  rate_limiter, id, 0, 1000, COMET_RATE_LIMITER_GOSSIP, 20000000),
 		0U);
-	EXPECT_NE(comet_allowance_spend(allowance, id, 0, 1000, COMET_ALLOWANCE_BY_VIEWS, 20000000),
+	EXPECT_NE(comet_rate_limiter_spend(
+			  rate_limiter, id, 0, 1000, COMET_RATE_LIMITER_GOSSIP, 20000000),
 		0U);
-	talloc_free(allowance);
+	talloc_free(rate_limiter);
 	comet_route_table_unref(builder.table);
 }
 
 TEST(RetryBudget, KeepsItsPartOfTheSum)
 {
-	comet_retry_bounds bounds = {0.2, 10000, 90};
+	comet_retry_budget_config bounds = {0.2, 10000, 90};
 	const int vms = 9;
 	const int firsts = 1000;
 	unsigned int repeats = 0;
@@ -500,7 +521,7 @@
 
 TEST(RetryBudget, AFreshVmHasFew)
 {
-	comet_retry_bounds bounds = {0.2, 10000, 58};
+	comet_retry_budget_config bounds = {0.2, 10000, 58};
 	comet_retry_budget *budget = comet_retry_budget_create(nullptr, &bounds);
 	unsigned int repeats = 0;
 
@@ -513,35 +534,35 @@
 
 TEST(WireNames, ValuesAreWholeNumbersOrRefused)
 {
-	comet_wire_load load = {};
+	comet_header_load load = {};
 	uint32_t prompt = 0;
 	uint32_t output = 0;
 	uint32_t ms = 0;
 
-	EXPECT_TRUE(comet_wire_parse_tokens("1460,80", &prompt, &output));
+	EXPECT_TRUE(comet_header_parse_tokens("1460,80", &prompt, &output));
 	EXPECT_EQ(prompt, 1460U);
 	EXPECT_EQ(output, 80U);
-	EXPECT_TRUE(comet_wire_parse_load("3,0,8", &load));
+	EXPECT_TRUE(comet_header_parse_load("3,0,8", &load));
 	EXPECT_EQ(load.slots, 8U);
-	EXPECT_TRUE(comet_wire_parse_ms("6000", &ms));
+	EXPECT_TRUE(comet_header_parse_ms("6000", &ms));
 	for (const char *bad : {"", "1", "1,", ",1", "1,2,3", "-1,2", "1,x", "99999999999,1"})
-		EXPECT_FALSE(comet_wire_parse_tokens(bad, &prompt, &output)) << bad;
+		EXPECT_FALSE(comet_header_parse_tokens(bad, &prompt, &output)) << bad;
 	for (const char *bad : {"", "-5", "1.5", "x", "4294967296"})
-		EXPECT_FALSE(comet_wire_parse_ms(bad, &ms)) << bad;
+		EXPECT_FALSE(comet_header_parse_ms(bad, &ms)) << bad;
 	for (const char *bad : {"4294967295,1,8", "1,1000001,8", "3,0", "3,0,8,1", "3;0;8"})
-		EXPECT_FALSE(comet_wire_parse_load(bad, &load)) << bad;
+		EXPECT_FALSE(comet_header_parse_load(bad, &load)) << bad;
 	for (const char *good : {"timeout=5", "max=9, Timeout = 5", "timeout=5,max=1"})
 	{
-		EXPECT_TRUE(comet_wire_parse_keep_alive(good, &ms)) << good;
+		EXPECT_TRUE(comet_header_parse_keep_alive(good, &ms)) << good;
 		EXPECT_EQ(ms, 5U);
 	}
 	for (const char *bad : {"", "max=5", "x-timeout=5", "timeout", "timeout=", "timeout=-5",
 		     "timeout=5s", "timeout=1.5", "timeout=99999999999", "timeout=\"5\""})
-		EXPECT_FALSE(comet_wire_parse_keep_alive(bad, &ms)) << bad;
-	EXPECT_TRUE(comet_wire_parse_seconds("1.25", &ms));
+		EXPECT_FALSE(comet_header_parse_keep_alive(bad, &ms)) << bad;
+	EXPECT_TRUE(comet_header_parse_seconds("1.25", &ms));
 	EXPECT_EQ(ms, 1250U);
 	for (const char *bad : {"", "-1", " 1", "1s", "nan", "inf", "1e99", "3601"})
-		EXPECT_FALSE(comet_wire_parse_seconds(bad, &ms)) << bad;
+		EXPECT_FALSE(comet_header_parse_seconds(bad, &ms)) << bad;
 }
 
 TEST(GatewaySettings, AreCheckedWithEveryFault)
@@ -564,7 +585,7 @@
 		comet_gateway_settings_parse(good.data(), good.size(), &error);
 	ASSERT_NE(settings, nullptr) << error->message;
 	EXPECT_EQ(settings->grace_ms, 8000U);
-	EXPECT_EQ(settings->allowance.slack, 72000.5);
+	EXPECT_EQ(settings->rate_limiter.slack, 72000.5);
 	talloc_free(settings);
 	EXPECT_FALSE(comet_gateway_settings_match("{}", 2));
 	EXPECT_FALSE(comet_gateway_settings_match("no", 2));
--- a/tests/unit/test_gateway_views.cc
+++ b/tests/unit/test_gateway_views.cc
@@ -7,7 +7,7 @@
 
 extern "C"
 {
-#include <libcometspindle/gateway/fleet/views.h>
+#include <libcometspindle/gateway/fleet/gossip.h>
 #include <libcometspindle/hash.h>
 }
 #include <map>
@@ -22,8 +22,8 @@
 struct vm
 {
 	comet_instances *instances;
-	comet_allowance *allowance;
-	comet_views *views;
+	comet_rate_limiter *rate_limiter;
+	comet_gossip *gossip;
 	std::vector<std::pair<uint32_t, std::string>> outbox;
 };
 
@@ -59,20 +59,20 @@
 	void
 	start(uint32_t address, uint64_t incarnation, uint64_t now_us = 0)
 	{
-		static const comet_views_ops ops = {on_send, on_changed};
+		static const comet_gossip_ops ops = {on_send, on_changed};
 		static const uint32_t seeds[] = {1};
-		comet_allowance_bounds bounds = {8000, 0, 0};
+		comet_rate_limiter_config bounds = {8000, 0, 0};
 		vm &one = all[address];
 		std::string zone = zone_of(address);
 		one.instances = comet_instances_create(nullptr, zone.c_str());
-		one.allowance = comet_allowance_create(one.instances, &bounds, now_us);
-		comet_allowance_set_teams(one.allowance, table, now_us);
+		one.rate_limiter = comet_rate_limiter_create(one.instances, &bounds, now_us);
+		comet_rate_limiter_set_teams(one.rate_limiter, table, now_us);
 		comet_instance_record record = {"i", "llm", "127.0.0.1:1", "z", 4, 0, false, 0};
 		comet_instances_put(one.instances, &record, now_us);
-		comet_views_config config = {address, incarnation, now_us, 8000, seeds, 1,
+		comet_gossip_config config = {address, incarnation, now_us, 8000, seeds, 1,
 			zone.c_str(), bytes_per_s, bytes_per_s, 100, nullptr};
-		one.views = comet_views_create(
-			one.instances, &config, one.instances, one.allowance, &ops, &one);
+		one.gossip = comet_gossip_create(
+			one.instances, &config, one.instances, one.rate_limiter, &ops, &one);
 	}
 
 	static void
@@ -92,7 +92,7 @@
 	step(uint64_t now_us, uint32_t cut = 0)
 	{
 		for (auto &one : all)
-			comet_views_tick(one.second.views, now_us);
+			comet_gossip_tick(one.second.gossip, now_us);
 		for (auto &one : all)
 		{
 			for (size_t i = 0; i < one.second.outbox.size(); i++)
@@ -107,8 +107,8 @@
 				ASSERT_TRUE(
 					comet_datagram_decode((const uint8_t *)mail.second.data(),
 						mail.second.size(), &datagram));
-				EXPECT_TRUE(comet_views_receive(
-					all[mail.first].views, &datagram.body.view, now_us));
+				EXPECT_TRUE(comet_gossip_receive(
+					all[mail.first].gossip, &datagram.body.view, now_us));
 			}
 			one.second.outbox.clear();
 		}
@@ -126,7 +126,7 @@
 	{
 		uint32_t known = 0;
 		uint32_t heard = 0;
-		comet_views_count(one.second.views, &known, &heard);
+		comet_gossip_count(one.second.gossip, &known, &heard);
 		EXPECT_EQ(known, 8U);
 		EXPECT_EQ(heard, 8U);
 	}
@@ -160,30 +160,30 @@
 
 	for (int i = 0; i < 40; i++, now_us += 50000)
 		fleet.step(now_us);
-	comet_views *views = fleet.all[1].views;
+	comet_gossip *gossip = fleet.all[1].gossip;
 	for (uint32_t i = 1; i <= 20000; i++)
 	{
 		comet_View view = view_of(100000 + i, 1);
 		view.spent_count = 0;
-		EXPECT_TRUE(comet_views_receive(views, &view, now_us));
+		EXPECT_TRUE(comet_gossip_receive(gossip, &view, now_us));
 	}
-	comet_views_count(views, &known, &heard);
+	comet_gossip_count(gossip, &known, &heard);
 	EXPECT_LE(known, 2048U);
 	EXPECT_GE(heard, 2U);
-	EXPECT_LE(comet_views_remembered(views), 2048U);
+	EXPECT_LE(comet_gossip_entry_count(gossip), 2048U);
 	for (uint32_t i = 2; i <= 2000; i++)
 	{
 		comet_View view = view_of(100001, i);
-		EXPECT_TRUE(comet_views_receive(views, &view, now_us));
+		EXPECT_TRUE(comet_gossip_receive(gossip, &view, now_us));
 	}
-	EXPECT_LE(comet_views_remembered(views), 2048U + 2048U);
+	EXPECT_LE(comet_gossip_entry_count(gossip), 2048U + 2048U);
 	/* those that were made up are forgotten, and others are heard again */
 	for (int i = 0; i < 500; i++, now_us += 50000)
 		fleet.step(now_us);
-	comet_views_count(views, &known, &heard);
+	comet_gossip_count(gossip, &known, &heard);
 	EXPECT_EQ(known, 2U);
 	EXPECT_EQ(heard, 2U);
-	EXPECT_LE(comet_views_remembered(views), 100U);
+	EXPECT_LE(comet_gossip_entry_count(gossip), 100U);
 }
 
 /* Two VMs told of 4,294,967,295 requests at an endpoint, and the sum came out as less. */
@@ -192,7 +192,7 @@
 	vms fleet(1);
 	uint64_t now_us = 1000000;
 	comet_instance *seen = comet_instances_find(fleet.all[1].instances, "i");
-	comet_job job = {600, 10, 10, true};
+	comet_request_size job = {600, 10, 10, true};
 
 	comet_instance_started(seen, &job);
 	for (uint32_t address : {5U, 6U})
@@ -202,13 +202,13 @@
 		view.number = 1;
 		view.busy_count = 1;
 		view.busy[0] = {seen->key, UINT32_MAX, UINT32_MAX};
-		EXPECT_TRUE(comet_views_receive(fleet.all[1].views, &view, now_us));
+		EXPECT_TRUE(comet_gossip_receive(fleet.all[1].gossip, &view, now_us));
 	}
-	comet_views_tick(fleet.all[1].views, now_us);
-	EXPECT_GE(seen->others_prompt, 1000000U);
+	comet_gossip_tick(fleet.all[1].gossip, now_us);
+	EXPECT_GE(seen->remote_prompt_tokens, 1000000U);
 	EXPECT_GE(comet_instance_load(seen, now_us), 1000000U);
-	EXPECT_GE(comet_instance_kept_load(seen, now_us), 1000000U);
-	comet_views_granted(fleet.all[1].views, 5, seen->key, 600, now_us);
+	EXPECT_GE(comet_instance_owned_load(seen, now_us), 1000000U);
+	comet_gossip_slot_granted(fleet.all[1].gossip, 5, seen->key, 600, now_us);
 	EXPECT_GE(comet_instance_load(seen, now_us), 1000000U);
 }
 
@@ -218,7 +218,7 @@
 	vms fleet(2);
 	uint64_t now_us = 1000000;
 	comet_instance_record record = {"i", "llm", "127.0.0.1:1", "z", 4, 0, false, 1000};
-	comet_job job = {600, 10, 10, true};
+	comet_request_size job = {600, 10, 10, true};
 
 	for (auto &one : fleet.all)
 		comet_instances_put(one.second.instances, &record, now_us);
@@ -226,21 +226,21 @@
 		fleet.step(now_us);
 	comet_instance *seen = comet_instances_find(fleet.all[1].instances, "i");
 	comet_instance_started(comet_instances_find(fleet.all[2].instances, "i"), &job);
-	comet_views_granted(fleet.all[1].views, 2, seen->key, 600, now_us);
+	comet_gossip_slot_granted(fleet.all[1].gossip, 2, seen->key, 600, now_us);
 	uint32_t earlier = seen->key;
 	fleet.step(now_us += 200000);
 	EXPECT_EQ(seen->others, 1U);
 	/* VM 1 learns that the server has started again, VM 2 not yet */
-	record.born_ms = 2000;
+	record.process_start_ms = 2000;
 	seen = comet_instances_put(fleet.all[1].instances, &record, now_us);
 	fleet.step(now_us += 200000);
 	EXPECT_EQ(seen->others, 0U);
-	comet_views_granted(fleet.all[1].views, 2, seen->key, 600, now_us);
-	EXPECT_EQ(comet_instance_kept_load(seen, now_us), 1U);
-	comet_views_freed(fleet.all[1].views, 2, earlier); /* of the earlier life */
-	EXPECT_EQ(comet_instance_kept_load(seen, now_us), 1U);
-	comet_views_freed(fleet.all[1].views, 2, seen->key);
-	EXPECT_EQ(comet_instance_kept_load(seen, now_us), 0U);
+	comet_gossip_slot_granted(fleet.all[1].gossip, 2, seen->key, 600, now_us);
+	EXPECT_EQ(comet_instance_owned_load(seen, now_us), 1U);
+	comet_gossip_slot_released(fleet.all[1].gossip, 2, earlier); /* of the earlier life */
+	EXPECT_EQ(comet_instance_owned_load(seen, now_us), 1U);
+	comet_gossip_slot_released(fleet.all[1].gossip, 2, seen->key);
+	EXPECT_EQ(comet_instance_owned_load(seen, now_us), 0U);
 }
 
 TEST(Views, DispatchesAndSpendingAreTold)
@@ -248,21 +248,21 @@
 	vms fleet(3);
 	uint64_t now_us = 1000000;
 	uint32_t team = comet_hash_name("t");
-	comet_job job = {500, 10, 10, true};
+	comet_request_size job = {500, 10, 10, true};
 	/* longer than a span, so that nothing is assumed of the time before */
 	for (int i = 0; i < 400; i++, now_us += 50000)
 		fleet.step(now_us);
-	EXPECT_EQ(comet_allowance_left(fleet.all[3].allowance, team, now_us), 9000);
+	EXPECT_EQ(comet_rate_limiter_remaining(fleet.all[3].rate_limiter, team, now_us), 9000);
 	comet_instance_started(comet_instances_find(fleet.all[2].instances, "i"), &job);
-	EXPECT_EQ(comet_allowance_spend(
-			  fleet.all[2].allowance, team, 0, 100, COMET_ALLOWANCE_BY_VIEWS, now_us),
+	EXPECT_EQ(comet_rate_limiter_spend(fleet.all[2].rate_limiter, team, 0, 100,
+			  COMET_RATE_LIMITER_GOSSIP, now_us),
 		0U);
 	for (int i = 0; i < 8; i++, now_us += 50000)
 		fleet.step(now_us);
 	comet_instance *instance = comet_instances_find(fleet.all[3].instances, "i");
 	EXPECT_EQ(instance->others, 1U);
-	EXPECT_EQ(instance->others_prompt, 500U);
-	EXPECT_EQ(comet_allowance_left(fleet.all[3].allowance, team, now_us), 8900);
+	EXPECT_EQ(instance->remote_prompt_tokens, 500U);
+	EXPECT_EQ(comet_rate_limiter_remaining(fleet.all[3].rate_limiter, team, now_us), 8900);
 }
 
 /* A team is told of when it has spent something, and else in turn: what an old VM spent long before
@@ -272,23 +272,25 @@
 	vms fleet(1);
 	uint64_t now_us = 20000000;
 	uint32_t team = comet_hash_name("t");
-	double before = comet_allowance_left(fleet.all[1].allowance, team, now_us);
+	double before = comet_rate_limiter_remaining(fleet.all[1].rate_limiter, team, now_us);
 	comet_View view = {};
 
 	view.address = 5;
 	view.incarnation = 5;
 	view.age_ms = 3600000;
 	view.number = 1;
-	EXPECT_TRUE(comet_views_receive(fleet.all[1].views, &view, now_us));
+	EXPECT_TRUE(comet_gossip_receive(fleet.all[1].gossip, &view, now_us));
 	view.number = 2;
 	view.spent_count = 1;
 	view.spent[0] = {team, 5000, 0, 100};
-	EXPECT_TRUE(comet_views_receive(fleet.all[1].views, &view, now_us));
-	EXPECT_EQ(comet_allowance_left(fleet.all[1].allowance, team, now_us), before - 100);
+	EXPECT_TRUE(comet_gossip_receive(fleet.all[1].gossip, &view, now_us));
+	EXPECT_EQ(comet_rate_limiter_remaining(fleet.all[1].rate_limiter, team, now_us),
+		before - 100);
 	view.number = 3;
 	view.spent[0] = {team, 5040, 0, 140};
-	EXPECT_TRUE(comet_views_receive(fleet.all[1].views, &view, now_us));
-	EXPECT_EQ(comet_allowance_left(fleet.all[1].allowance, team, now_us), before - 140);
+	EXPECT_TRUE(comet_gossip_receive(fleet.all[1].gossip, &view, now_us));
+	EXPECT_EQ(comet_rate_limiter_remaining(fleet.all[1].rate_limiter, team, now_us),
+		before - 140);
 }
 
 /* Each view named every team that its VM had served since its start: of 900 bytes that 295 VMs sent
@@ -311,17 +313,17 @@
 	vms fleet(2);
 	uint64_t now_us = 20000000;
 	vm &one = fleet.all[1];
-	comet_allowance_set_teams(one.allowance, many, now_us);
+	comet_rate_limiter_set_teams(one.rate_limiter, many, now_us);
 	for (auto &name : names)
-		EXPECT_EQ(comet_allowance_spend(one.allowance, comet_hash_name(name.c_str()), 0,
-				  3000, COMET_ALLOWANCE_BY_VIEWS, now_us),
+		EXPECT_EQ(comet_rate_limiter_spend(one.rate_limiter, comet_hash_name(name.c_str()),
+				  0, 3000, COMET_RATE_LIMITER_GOSSIP, now_us),
 			0U);
 	for (int i = 0; i < 400; i++, now_us += 50000)
 		fleet.step(now_us);
 	size_t most = 0;
 	for (int i = 0; i < 200; i++, now_us += 50000)
 	{
-		comet_views_tick(one.views, now_us);
+		comet_gossip_tick(one.gossip, now_us);
 		for (auto &mail : one.outbox)
 			most = std::max(most, mail.second.size());
 		one.outbox.clear();
@@ -339,20 +341,20 @@
 	vms untouched(1);
 	uint64_t now_us = 1000000;
 	uint32_t team = comet_hash_name("t");
-	EXPECT_EQ(comet_allowance_spend(
-			  fleet.all[2].allowance, team, 0, 100, COMET_ALLOWANCE_BY_VIEWS, now_us),
+	EXPECT_EQ(comet_rate_limiter_spend(fleet.all[2].rate_limiter, team, 0, 100,
+			  COMET_RATE_LIMITER_GOSSIP, now_us),
 		0U);
 	for (int i = 0; i < 20; i++, now_us += 50000)
 		fleet.step(now_us);
-	EXPECT_EQ(comet_allowance_left(fleet.all[3].allowance, team, now_us),
-		comet_allowance_left(untouched.all[1].allowance, team, now_us) - 100);
+	EXPECT_EQ(comet_rate_limiter_remaining(fleet.all[3].rate_limiter, team, now_us),
+		comet_rate_limiter_remaining(untouched.all[1].rate_limiter, team, now_us) - 100);
 }
 
 TEST(Views, ASilentVmIsNoticedAndItsDispatchesForgotten)
 {
 	vms fleet(3);
 	uint64_t now_us = 1000000;
-	comet_job job = {500, 10, 10, true};
+	comet_request_size job = {500, 10, 10, true};
 	comet_instance_started(comet_instances_find(fleet.all[2].instances, "i"), &job);
 	for (int i = 0; i < 40; i++, now_us += 50000)
 		fleet.step(now_us);
@@ -361,14 +363,14 @@
 		fleet.step(now_us, 2);
 	uint32_t known = 0;
 	uint32_t heard = 0;
-	comet_views_count(fleet.all[3].views, &known, &heard);
+	comet_gossip_count(fleet.all[3].gossip, &known, &heard);
 	EXPECT_EQ(known, 2U);
 	EXPECT_EQ(heard, 1U);
 	EXPECT_EQ(comet_instances_find(fleet.all[3].instances, "i")->others, 0U);
 	/* it comes back by itself once the cut heals */
 	for (int i = 0; i < 60; i++, now_us += 50000)
 		fleet.step(now_us);
-	comet_views_count(fleet.all[3].views, &known, &heard);
+	comet_gossip_count(fleet.all[3].gossip, &known, &heard);
 	EXPECT_EQ(heard, 2U);
 }
 
@@ -383,26 +385,26 @@
 	uint32_t heard = 0;
 	for (int i = 0; i < 400; i++, now_us += 50000)
 		fleet.step(now_us);
-	comet_views_leave(fleet.all[2].views, now_us);
+	comet_gossip_leave(fleet.all[2].gossip, now_us);
 	for (int i = 0; i < 10; i++, now_us += 50000)
 		fleet.step(now_us);
-	EXPECT_EQ(comet_allowance_spend(
-			  fleet.all[2].allowance, team, 0, 100, COMET_ALLOWANCE_BY_VIEWS, now_us),
+	EXPECT_EQ(comet_rate_limiter_spend(fleet.all[2].rate_limiter, team, 0, 100,
+			  COMET_RATE_LIMITER_GOSSIP, now_us),
 		0U);
-	EXPECT_EQ(comet_allowance_spend(
-			  fleet.all[1].allowance, team, 0, 1000, COMET_ALLOWANCE_BY_VIEWS, now_us),
+	EXPECT_EQ(comet_rate_limiter_spend(fleet.all[1].rate_limiter, team, 0, 1000,
+			  COMET_RATE_LIMITER_GOSSIP, now_us),
 		0U);
 	for (int i = 0; i < 8; i++, now_us += 50000)
 		fleet.step(now_us);
-	EXPECT_EQ(comet_allowance_left(fleet.all[3].allowance, team, now_us), 7900);
-	EXPECT_EQ(comet_allowance_left(fleet.all[2].allowance, team, now_us), 7900);
-	comet_views_count(fleet.all[3].views, &known, &heard);
+	EXPECT_EQ(comet_rate_limiter_remaining(fleet.all[3].rate_limiter, team, now_us), 7900);
+	EXPECT_EQ(comet_rate_limiter_remaining(fleet.all[2].rate_limiter, team, now_us), 7900);
+	comet_gossip_count(fleet.all[3].gossip, &known, &heard);
 	EXPECT_EQ(known, 2U);
 	EXPECT_EQ(heard, 2U);
 	/* its process ends: it is not a VM that was cut off and may still spend */
 	for (int i = 0; i < 30; i++, now_us += 50000)
 		fleet.step(now_us, 2);
-	comet_views_count(fleet.all[3].views, &known, &heard);
+	comet_gossip_count(fleet.all[3].gossip, &known, &heard);
 	EXPECT_EQ(known, 1U);
 	EXPECT_EQ(heard, 1U);
 }
@@ -419,26 +421,27 @@
 		fleet.step(now_us);
 	for (auto &one : fleet.all)
 	{
-		comet_views_count(one.second.views, &known, &heard);
+		comet_gossip_count(one.second.gossip, &known, &heard);
 		EXPECT_EQ(heard, 39U);
 	}
 	fleet.between_zones = 0;
-	EXPECT_EQ(comet_allowance_spend(
-			  fleet.all[2].allowance, team, 0, 100, COMET_ALLOWANCE_BY_VIEWS, now_us),
+	EXPECT_EQ(comet_rate_limiter_spend(fleet.all[2].rate_limiter, team, 0, 100,
+			  COMET_RATE_LIMITER_GOSSIP, now_us),
 		0U);
 	for (int i = 0; i < 20; i++, now_us += 50000)
 		fleet.step(now_us);
 	for (auto &one : fleet.all)
-		EXPECT_EQ(comet_allowance_left(one.second.allowance, team, now_us), 8900);
+		EXPECT_EQ(
+			comet_rate_limiter_remaining(one.second.rate_limiter, team, now_us), 8900);
 	/* a second is ten rounds at most; each round of each VM goes to two of the other zone */
 	EXPECT_LE(fleet.between_zones, 40U * 10 * 2);
 	/* with a VM of the other zone cut off, others pass views on */
-	EXPECT_EQ(comet_allowance_spend(
-			  fleet.all[2].allowance, team, 0, 100, COMET_ALLOWANCE_BY_VIEWS, now_us),
+	EXPECT_EQ(comet_rate_limiter_spend(fleet.all[2].rate_limiter, team, 0, 100,
+			  COMET_RATE_LIMITER_GOSSIP, now_us),
 		0U);
 	for (int i = 0; i < 20; i++, now_us += 50000)
 		fleet.step(now_us, 3);
-	EXPECT_EQ(comet_allowance_left(fleet.all[5].allowance, team, now_us), 8800);
+	EXPECT_EQ(comet_rate_limiter_remaining(fleet.all[5].rate_limiter, team, now_us), 8800);
 }
 
 /* Found by a sweep of 300 VMs: after a start of all, each asked the same one for a copy. */
@@ -449,15 +452,15 @@
 	std::map<uint32_t, int> chosen;
 
 	for (uint32_t vm = 2; vm <= 4; vm++)
-		comet_views_set_revision(fleet.all[vm].views, vm);
+		comet_gossip_set_revision(fleet.all[vm].gossip, vm);
 	for (int i = 0; i < 40; i++, now_us += 50000)
 		fleet.step(now_us);
 	for (uint32_t draw = 0; draw < 300; draw++)
-		chosen[comet_views_newer(fleet.all[1].views, 2, draw)]++;
+		chosen[comet_gossip_pick_newer_peer(fleet.all[1].gossip, 2, draw)]++;
 	EXPECT_EQ(chosen[3], 150);
 	EXPECT_EQ(chosen[4], 150);
-	EXPECT_EQ(comet_views_newer(fleet.all[1].views, 4, 1), 0U);
-	EXPECT_EQ(comet_views_newest(fleet.all[1].views), 4U);
+	EXPECT_EQ(comet_gossip_pick_newer_peer(fleet.all[1].gossip, 4, 1), 0U);
+	EXPECT_EQ(comet_gossip_newest_revision(fleet.all[1].gossip), 4U);
 }
 
 /* Of 295 VMs that started together 35 heard nobody for a whole day, and nobody heard them but the
@@ -475,7 +478,7 @@
 	{
 		uint32_t known = 0;
 		uint32_t heard = 0;
-		comet_views_count(one.second.views, &known, &heard);
+		comet_gossip_count(one.second.gossip, &known, &heard);
 		EXPECT_GE(heard, count - 2) << "VM " << one.first;
 	}
 }
@@ -486,14 +489,14 @@
 	vms fleet(6, 2);
 	uint64_t now_us = 1000000;
 	for (uint32_t vm = 2; vm <= 6; vm++)
-		comet_views_set_revision(fleet.all[vm].views, vm);
+		comet_gossip_set_revision(fleet.all[vm].gossip, vm);
 	for (int i = 0; i < 40; i++, now_us += 50000)
 		fleet.step(now_us);
 	for (uint32_t draw = 0; draw < 10; draw++)
 	{
-		EXPECT_EQ(comet_views_newer(fleet.all[1].views, 0, draw) % 2, 1U);
-		EXPECT_EQ(comet_views_newer(fleet.all[1].views, 4, draw), 5U);
-		EXPECT_EQ(comet_views_newer(fleet.all[1].views, 5, draw), 6U);
+		EXPECT_EQ(comet_gossip_pick_newer_peer(fleet.all[1].gossip, 0, draw) % 2, 1U);
+		EXPECT_EQ(comet_gossip_pick_newer_peer(fleet.all[1].gossip, 4, draw), 5U);
+		EXPECT_EQ(comet_gossip_pick_newer_peer(fleet.all[1].gossip, 5, draw), 6U);
 	}
 }
 
@@ -506,7 +509,7 @@
 
 	EXPECT_FALSE(comet_datagram_decode(junk, sizeof junk, &datagram));
 	EXPECT_FALSE(comet_datagram_decode(junk, 0, &datagram));
-	EXPECT_FALSE(comet_views_receive(fleet.all[1].views, &nobody, 1));
+	EXPECT_FALSE(comet_gossip_receive(fleet.all[1].gossip, &nobody, 1));
 }
 
 /* When all restart at once, the seed may be the last to come: until it was asked again, VMs did not
@@ -527,7 +530,7 @@
 	{
 		uint32_t known = 0;
 		uint32_t heard = 0;
-		comet_views_count(one.second.views, &known, &heard);
+		comet_gossip_count(one.second.gossip, &known, &heard);
 		EXPECT_EQ(heard, 5U);
 	}
 }
--- a/tests/unit/test_gateway_waits.cc
+++ b/tests/unit/test_gateway_waits.cc
@@ -103,7 +103,7 @@
 	comet_placement_item *leaver = all.submit(vms.second);
 	all.pass(50000);
 	comet_placement_item *next = all.submit(vms.keeper);
-	comet_placement_withdraw(all.vms[vms.second].placement, leaver);
+	comet_placement_cancel(all.vms[vms.second].placement, leaver);
 	all.end(vms.first, running[0]);
 	all.pass(20000);
 	EXPECT_EQ(all.vms[vms.second].sent.size(), 0U);
@@ -116,7 +116,7 @@
 	askers vms(all);
 	auto running = fill(all, vms.first, slots);
 	comet_placement_item *item = all.submit(vms.second);
-	item->latest_us = all.now_us + 100000;
+	item->dispatch_deadline_us = all.now_us + 100000;
 	all.pass(150000);
 	EXPECT_EQ(all.vms[vms.second].refused.count(item), 1U);
 	EXPECT_FALSE(item->asking);
@@ -131,11 +131,11 @@
  * at two, and was sent twice. */
 struct two_keepers
 {
-	uint32_t looks = 0;
+	uint32_t crash_checks = 0;
 	uint32_t open = 0;
 	uint32_t most_open = 0;
 	uint32_t dispatches = 0;
-	comet_placement_ask last = {};
+	comet_slot_request last = {};
 };
 
 TEST(Waits, ARequestAsksOneKeeperAtATime)
@@ -149,18 +149,18 @@
 		[](void *, comet_placement_item *, uint32_t) {},
 		[](void *ctx, comet_shard *)
 		{
-			uint32_t look = static_cast<two_keepers *>(ctx)->looks++;
-			return look % 3 == 0 ? COMET_PLACEMENT_KEEPER_SELF
-					     : COMET_PLACEMENT_KEEPER_OTHER;
+			uint32_t look = static_cast<two_keepers *>(ctx)->crash_checks++;
+			return look % 3 == 0 ? COMET_PLACEMENT_OWNER_SELF
+					     : COMET_PLACEMENT_OWNER_OTHER;
 		},
-		[](void *ctx, comet_placement_item *, comet_shard *, const comet_placement_ask *ask)
+		[](void *ctx, comet_placement_item *, comet_shard *, const comet_slot_request *ask)
 		{
 			auto *one = static_cast<two_keepers *>(ctx);
 			one->last = *ask;
 			one->most_open = std::max(one->most_open, ++one->open);
 		},
 		[](void *ctx, comet_placement_item *) { static_cast<two_keepers *>(ctx)->open--; },
-		[](void *, const comet_placement_ask *, comet_instance *) {},
+		[](void *, const comet_slot_request *, comet_instance *) {},
 	};
 	two_keepers one;
 	comet_instances *instances = comet_instances_create(nullptr, "a");
@@ -174,7 +174,7 @@
 	item.service = "llm";
 	item.job = {1000, 100, 100, true};
 	item.route_rank = 2; /* it takes no place beyond the slots */
-	item.latest_us = 60000000;
+	item.dispatch_deadline_us = 60000000;
 	uint64_t now_us = 1000000;
 	comet_placement_submit(placement, &item, now_us);
 	for (int i = 0; i < 200; i++, now_us += 20000)
@@ -185,7 +185,7 @@
 			continue;
 		one.open--;
 		if (one.last.wait_us > 0)
-			comet_placement_waited(placement, &item, now_us);
+			comet_placement_wait_expired(placement, &item, now_us);
 		else
 			comet_placement_denied(placement, &item, one.last.shard, 0, now_us);
 	}
--- a/tests/unit/test_instances.cc
+++ b/tests/unit/test_instances.cc
@@ -16,8 +16,8 @@
 {
 
 constexpr uint64_t second_us = 1000000;
-constexpr uint64_t lapse_us = 2200000;
-constexpr comet_lapse_bounds bounds = {lapse_us, 3 * second_us};
+constexpr uint64_t expire_us = 2200000;
+constexpr comet_expiry_config bounds = {expire_us, 3 * second_us};
 
 struct Lapses : ::testing::Test
 {
@@ -47,47 +47,51 @@
 
 TEST_F(Lapses, WhatIsUnlistedAfterAnOutageIsUsedOnForAWhile)
 {
-	uint64_t out_us = 10 * second_us;
-	ASSERT_TRUE(comet_instances_lapse(instances, "i", out_us, &bounds, out_us + 100000));
-	EXPECT_TRUE(used(out_us + 2 * second_us)); /* entries may be back by then */
-	EXPECT_FALSE(used(out_us + 100000 + lapse_us));
+	uint64_t outage_us = 10 * second_us;
+	ASSERT_TRUE(comet_instances_schedule_expiry(
+		instances, "i", outage_us, &bounds, outage_us + 100000));
+	EXPECT_TRUE(used(outage_us + 2 * second_us)); /* entries may be back by then */
+	EXPECT_FALSE(used(outage_us + 100000 + expire_us));
 }
 
 /* Found in a hunt: a VM had its first answer 0.9 s after it had been cut off; what had left since
  * was used for 2.2 s more, and got work three seconds after the cut. */
 TEST_F(Lapses, HoweverLateTheFirstAnswerNothingIsUsedThreeSecondsAfterAnOutage)
 {
-	uint64_t out_us = 10 * second_us;
-	ASSERT_TRUE(comet_instances_lapse(instances, "i", out_us, &bounds, out_us + 1600000));
-	EXPECT_TRUE(used(out_us + 2 * second_us));
-	EXPECT_FALSE(used(out_us + 3 * second_us));
+	uint64_t outage_us = 10 * second_us;
+	ASSERT_TRUE(comet_instances_schedule_expiry(
+		instances, "i", outage_us, &bounds, outage_us + 1600000));
+	EXPECT_TRUE(used(outage_us + 2 * second_us));
+	EXPECT_FALSE(used(outage_us + 3 * second_us));
 }
 
 TEST_F(Lapses, WhereTheDirectoryIsSoonWholeAgainTheyAreShorter)
 {
-	uint64_t out_us = 10 * second_us;
-	const comet_lapse_bounds soon = {lapse_us, 2 * second_us};
-	ASSERT_TRUE(comet_instances_lapse(instances, "i", out_us, &soon, out_us + 100000));
-	EXPECT_TRUE(used(out_us + second_us));
-	EXPECT_FALSE(used(out_us + 2 * second_us));
-	const comet_lapse_bounds none = {lapse_us, 0};
-	EXPECT_FALSE(comet_instances_lapse(instances, "i", out_us, &none, out_us));
+	uint64_t outage_us = 10 * second_us;
+	const comet_expiry_config soon = {expire_us, 2 * second_us};
+	ASSERT_TRUE(comet_instances_schedule_expiry(
+		instances, "i", outage_us, &soon, outage_us + 100000));
+	EXPECT_TRUE(used(outage_us + second_us));
+	EXPECT_FALSE(used(outage_us + 2 * second_us));
+	const comet_expiry_config none = {expire_us, 0};
+	EXPECT_FALSE(comet_instances_schedule_expiry(instances, "i", outage_us, &none, outage_us));
 }
 
 TEST_F(Lapses, WhatIsUnlistedLongAfterAnOutageIsGone)
 {
-	uint64_t out_us = 10 * second_us;
-	EXPECT_FALSE(
-		comet_instances_lapse(instances, "i", out_us, &bounds, out_us + 5 * second_us));
+	uint64_t outage_us = 10 * second_us;
+	EXPECT_FALSE(comet_instances_schedule_expiry(
+		instances, "i", outage_us, &bounds, outage_us + 5 * second_us));
 }
 
 TEST_F(Lapses, WhatIsListedAgainStays)
 {
-	uint64_t out_us = 10 * second_us;
-	ASSERT_TRUE(comet_instances_lapse(instances, "i", out_us, &bounds, out_us + 100000));
+	uint64_t outage_us = 10 * second_us;
+	ASSERT_TRUE(comet_instances_schedule_expiry(
+		instances, "i", outage_us, &bounds, outage_us + 100000));
 	comet_instance_record record = {"i", "llm", "127.0.0.1:1", "z", 4, 0, false, 0};
-	comet_instances_put(instances, &record, out_us + second_us);
-	EXPECT_TRUE(used(out_us + 9 * second_us));
+	comet_instances_put(instances, &record, outage_us + second_us);
+	EXPECT_TRUE(used(outage_us + 9 * second_us));
 }
 
 /* Entries of services that nobody uses came and went, each with a name of its own, and something of
@@ -95,10 +99,10 @@
 TEST_F(Lapses, AServiceThatNobodyUsedIsForgottenWithItsLastEndpoint)
 {
 	comet_instance *used = comet_instances_find(instances, "i");
-	comet_job job = {0, 0, 0, false};
+	comet_request_size job = {0, 0, 0, false};
 	comet_instance_started(used, &job);
 	comet_instance_ended(used, &job, true, COMET_DISPATCH_SERVED, 700000, 0, second_us);
-	uint64_t learned_us = comet_instances_usual_first_us(instances, "llm", &job);
+	uint64_t learned_us = comet_instances_typical_first_us(instances, "llm", &job);
 	comet_instances_remove(instances, "i");
 	for (int i = 0; i < 1000; i++)
 	{
@@ -108,9 +112,9 @@
 		comet_instances_put(instances, &record, second_us);
 	}
 	EXPECT_EQ(comet_instances_services(instances), 2U);
-	EXPECT_NE(comet_instances_of(instances, "s999"), nullptr);
-	EXPECT_EQ(comet_instances_of(instances, "llm"), nullptr);
-	EXPECT_EQ(comet_instances_usual_first_us(instances, "llm", &job), learned_us);
+	EXPECT_NE(comet_instances_for_service(instances, "s999"), nullptr);
+	EXPECT_EQ(comet_instances_for_service(instances, "llm"), nullptr);
+	EXPECT_EQ(comet_instances_typical_first_us(instances, "llm", &job), learned_us);
 }
 
 struct LivesOfInstances : ::testing::Test
@@ -123,10 +127,10 @@
 	}
 
 	comet_instance *
-	put(uint64_t born_ms, bool draining = false)
+	put(uint64_t process_start_ms, bool draining = false)
 	{
 		comet_instance_record record = {
-			"i", "llm", "127.0.0.1:1", "z", 4, 0, draining, born_ms};
+			"i", "llm", "127.0.0.1:1", "z", 4, 0, draining, process_start_ms};
 		return comet_instances_put(instances, &record, second_us);
 	}
 };
@@ -136,11 +140,11 @@
 	comet_instance *one = put(1000);
 	uint64_t changes = comet_instances_changes(instances);
 	uint32_t key = one->key;
-	comet_job job = {600, 10, 10, true};
+	comet_request_size job = {600, 10, 10, true};
 	comet_instance_started(one, &job);
-	comet_instance_granted(one, 600, second_us);
-	comet_instance_told(one, 3, second_us);
-	comet_instance_heard(one, second_us);
+	comet_instance_slot_granted(one, 600, second_us);
+	comet_instance_load_reported(one, 3, second_us);
+	comet_instance_seen(one, second_us);
 	for (int i = 0; i < 5; i++)
 		comet_instance_ended(one, &job, false, COMET_DISPATCH_BROKEN, 0, 0, 2 * second_us);
 	one->pace = 3;
@@ -151,11 +155,12 @@
 	EXPECT_EQ(comet_instances_find(instances, "i"), two);
 	EXPECT_GT(comet_instances_changes(instances), changes);
 	EXPECT_EQ(comet_instance_load(two, second_us), 0U);
-	EXPECT_EQ(comet_instance_kept_load(two, second_us), 0U);
-	EXPECT_EQ(two->own_prompt + two->failures + two->refusals, 0U);
-	EXPECT_EQ(two->avoid_us + two->full_us + two->heard_us + two->told_us, 0U);
+	EXPECT_EQ(comet_instance_owned_load(two, second_us), 0U);
+	EXPECT_EQ(two->local_prompt_tokens + two->failures + two->refusals, 0U);
+	EXPECT_EQ(two->ejected_until_us + two->full_until_us + two->last_seen_us + two->reported_us,
+		0U);
 	EXPECT_EQ(two->pace, 1.0);
-	EXPECT_EQ(comet_instances_of(instances, "llm")->len, 1U);
+	EXPECT_EQ(comet_instances_for_service(instances, "llm")->len, 1U);
 }
 
 /* Ids of equal hash are two endpoints; the one that goes leaves the other to be found. */
--- a/tests/unit/test_latency.cc
+++ b/tests/unit/test_latency.cc
@@ -6,7 +6,7 @@
 
 extern "C"
 {
-#include <libcometspindle/latency.h>
+#include <libcometspindle/latency_histogram.h>
 }
 
 namespace
@@ -14,12 +14,12 @@
 
 TEST(Latency, BucketsAreCumulativeAndBoundsBelongToTheirBucket)
 {
-	comet_latency latency = {};
+	comet_latency_histogram latency = {};
 	GString *out = g_string_new(nullptr);
 
 	for (uint64_t us : {0UL, 5000UL, 5001UL, 400000UL, 20000000UL})
-		comet_latency_add(&latency, us);
-	comet_latency_print(&latency, out, "t", "kind=\"safe\"");
+		comet_latency_histogram_add(&latency, us);
+	comet_latency_histogram_print(&latency, out, "t", "kind=\"safe\"");
 	std::string text = out->str;
 	EXPECT_NE(text.find("t_bucket{kind=\"safe\",le=\"0.005\"} 2\n"), std::string::npos) << text;
 	EXPECT_NE(text.find("t_bucket{kind=\"safe\",le=\"0.01\"} 3\n"), std::string::npos);
--- a/tests/unit/test_limits_fleet.cc
+++ b/tests/unit/test_limits_fleet.cc
@@ -6,8 +6,8 @@
 
 extern "C"
 {
-#include <libcometspindle/gateway/admission/allowance.h>
-#include <libcometspindle/gateway/admission/charges.h>
+#include <libcometspindle/gateway/admission/rate_limiter.h>
+#include <libcometspindle/gateway/admission/quota_requests.h>
 #include <libcometspindle/hash.h>
 }
 #include <deque>
@@ -70,8 +70,8 @@
 {
 	fleet *all = nullptr;
 	uint32_t address = 0;
-	comet_allowance *allowance = nullptr;
-	comet_charges *charges = nullptr;
+	comet_rate_limiter *rate_limiter = nullptr;
+	comet_quota_requests *charges = nullptr;
 	std::map<uint32_t, uint64_t> told; /* team -> spent, as the others know */
 };
 
@@ -79,7 +79,7 @@
 {
 	vm *at;
 	team *of;
-	comet_charge charge;
+	comet_quota_request charge;
 	uint32_t asked = 0; /* keepers */
 };
 
@@ -127,7 +127,7 @@
 	~fleet()
 	{
 		for (auto &one : vms)
-			talloc_free(one.allowance);
+			talloc_free(one.rate_limiter);
 		for (auto *one : asked)
 			delete one;
 		comet_route_table_unref(table);
@@ -136,16 +136,16 @@
 	void
 	start(vm &one, uint32_t address)
 	{
-		static const comet_charges_ops ops = {
+		static const comet_quota_requests_ops ops = {
 			on_send, on_decided, on_undecided, on_charge, on_returned};
-		comet_allowance_bounds bounds = {window_ms, overage, slack};
+		comet_rate_limiter_config bounds = {window_ms, overage, slack};
 
 		one.all = this;
 		one.address = address;
 		one.told.clear();
-		one.allowance = comet_allowance_create(nullptr, &bounds, now_us);
-		comet_allowance_set_teams(one.allowance, table, now_us);
-		one.charges = comet_charges_create(one.allowance, address, &ops, &one);
+		one.rate_limiter = comet_rate_limiter_create(nullptr, &bounds, now_us);
+		comet_rate_limiter_set_teams(one.rate_limiter, table, now_us);
+		one.charges = comet_quota_requests_create(one.rate_limiter, address, &ops, &one);
 	}
 
 	/* All processes are killed, and run again. */
@@ -158,7 +158,7 @@
 		asked.clear();
 		for (auto &one : vms)
 		{
-			talloc_free(one.allowance);
+			talloc_free(one.rate_limiter);
 			start(one, one.address);
 		}
 	}
@@ -177,7 +177,7 @@
 		auto *one = static_cast<vm *>(ctx);
 		auto *request = static_cast<waiting *>(owner);
 		if (wait_ms == 0)
-			comet_allowance_charged(one->allowance, request->charge.team,
+			comet_rate_limiter_charged(one->rate_limiter, request->charge.team,
 				request->charge.amount, one->all->now_us);
 		one->all->end(request, wait_ms == 0);
 	}
@@ -189,19 +189,19 @@
 	}
 
 	static bool
-	on_charge(void *ctx, uint32_t asker, const comet_charge *charge, uint32_t *wait_ms)
+	on_charge(void *ctx, uint32_t asker, const comet_quota_request *charge, uint32_t *wait_ms)
 	{
 		auto *one = static_cast<vm *>(ctx);
-		return comet_allowance_charge_for(one->allowance, asker, charge->team, charge->rank,
-			charge->amount, one->all->now_us, wait_ms);
+		return comet_rate_limiter_charge_remote(one->rate_limiter, asker, charge->team,
+			charge->rank, charge->amount, one->all->now_us, wait_ms);
 	}
 
 	static void
-	on_returned(void *ctx, uint32_t asker, const comet_charge *charge)
+	on_returned(void *ctx, uint32_t asker, const comet_quota_request *charge)
 	{
 		auto *one = static_cast<vm *>(ctx);
-		comet_allowance_returned_by(
-			one->allowance, asker, charge->team, charge->amount, one->all->now_us);
+		comet_rate_limiter_refund_remote(
+			one->rate_limiter, asker, charge->team, charge->amount, one->all->now_us);
 	}
 
 	void
@@ -216,10 +216,10 @@
 	}
 
 	void
-	decide(waiting *request, comet_allowance_sight sight)
+	decide(waiting *request, comet_rate_limiter_source sight)
 	{
 		uint32_t wait_ms =
-			comet_allowance_spend(request->at->allowance, request->charge.team,
+			comet_rate_limiter_spend(request->at->rate_limiter, request->charge.team,
 				request->charge.rank, request->charge.amount, sight, now_us);
 		end(request, wait_ms == 0);
 	}
@@ -239,14 +239,15 @@
 	{
 		vm &at = *request->at;
 		uint32_t asked_of = keeper;
-		while (comet_charges_is_mute(at.charges, asked_of, now_us))
+		while (comet_quota_requests_is_unresponsive(at.charges, asked_of, now_us))
 			asked_of++;
 		if (at.address == asked_of)
-			decide(request, COMET_ALLOWANCE_KEPT);
+			decide(request, COMET_RATE_LIMITER_OWNER);
 		else if (request->asked++ >= 2)
-			decide(request, COMET_ALLOWANCE_BY_VIEWS);
+			decide(request, COMET_RATE_LIMITER_GOSSIP);
 		else
-			comet_charges_ask(at.charges, request, asked_of, &request->charge, now_us);
+			comet_quota_requests_send(
+				at.charges, request, asked_of, &request->charge, now_us);
 	}
 
 	void
@@ -261,7 +262,8 @@
 				continue;
 			ASSERT_TRUE(comet_datagram_decode(
 				(const uint8_t *)one.bytes.data(), one.bytes.size(), &datagram));
-			EXPECT_TRUE(comet_charges_receive(vms[one.to - 1].charges, &datagram));
+			EXPECT_TRUE(
+				comet_quota_requests_receive(vms[one.to - 1].charges, &datagram));
 		}
 	}
 
@@ -273,12 +275,12 @@
 		{
 			std::map<uint32_t, uint64_t> spent;
 		} report;
-		comet_allowance_each(
-			from.allowance, now_us,
-			[](void *ctx, const comet_allowance_report *one)
+		comet_rate_limiter_each(
+			from.rate_limiter, now_us,
+			[](void *ctx, const comet_rate_limiter_report *one)
 			{ static_cast<told *>(ctx)->spent[one->team_id] = one->spent; },
 			&report);
-		comet_allowance_told(from.allowance);
+		comet_rate_limiter_mark_reported(from.rate_limiter);
 		if (cut.count(from.address) != 0)
 			return;
 		for (auto &one : report.spent)
@@ -290,8 +292,9 @@
 			for (auto &to : vms)
 			{
 				if (to.address != from.address && cut.count(to.address) == 0)
-					comet_allowance_spent_elsewhere(to.allowance, from.address,
-						one.first, one.second - before, now_us);
+					comet_rate_limiter_merge_remote(to.rate_limiter,
+						from.address, one.first, one.second - before,
+						now_us);
 			}
 		}
 	}
@@ -301,8 +304,8 @@
 	{
 		auto count = (uint32_t)vms.size();
 		uint32_t heard = cut.count(one.address) != 0 ? 1 : count - heard_of_cut;
-		comet_allowance_set_vms(one.allowance, heard_of_cut != 0 ? heard : count, count,
-			heard_of_cut != 0 ? silent_us : 0);
+		comet_rate_limiter_set_vms(one.rate_limiter, heard_of_cut != 0 ? heard : count,
+			count, heard_of_cut != 0 ? silent_us : 0);
 	}
 
 	/* Time passes; factor: of what a team usually sends. */
@@ -319,7 +322,7 @@
 			for (size_t i = 0; i < vms.size(); i++)
 			{
 				set_vms(vms[i]);
-				comet_charges_tick(vms[i].charges, now_us);
+				comet_quota_requests_tick(vms[i].charges, now_us);
 				if ((now_us / step_us + i) % (views_us / step_us) == 0)
 					tell(vms[i]);
 			}
@@ -432,26 +435,27 @@
 {
 	std::vector<team> one = {{"t", 1000000, 10, 10}};
 	fleet all(4, one);
-	talloc_free(all.vms[3].allowance);
+	talloc_free(all.vms[3].rate_limiter);
 	all.start(all.vms[3], 4);
 	uint64_t began_us = all.now_us;
 	uint32_t id = all.teams[0].id;
-	comet_allowance *allowance = all.vms[3].allowance;
+	comet_rate_limiter *rate_limiter = all.vms[3].rate_limiter;
 
 	for (uint64_t ms = 0; ms < 9000; ms += 10)
 	{
 		uint64_t now_us = began_us + ms * 1000;
 		bool alone = ms >= 3000; /* they were heard last at 2 s */
-		comet_allowance_set_vms(
-			allowance, alone ? 1 : 4, 4, alone ? began_us + 2000000 : 0);
-		EXPECT_EQ(comet_allowance_spend(allowance, id, 0, 10, COMET_ALLOWANCE_KEPT, now_us),
+		comet_rate_limiter_set_vms(
+			rate_limiter, alone ? 1 : 4, 4, alone ? began_us + 2000000 : 0);
+		EXPECT_EQ(comet_rate_limiter_spend(
+				  rate_limiter, id, 0, 10, COMET_RATE_LIMITER_OWNER, now_us),
 			0U)
 			<< ms;
-		EXPECT_EQ(comet_allowance_spend(
-				  allowance, id, 0, 10, COMET_ALLOWANCE_BY_VIEWS, now_us),
+		EXPECT_EQ(comet_rate_limiter_spend(
+				  rate_limiter, id, 0, 10, COMET_RATE_LIMITER_GOSSIP, now_us),
 			0U)
 			<< ms;
-		comet_allowance_told(allowance);
+		comet_rate_limiter_mark_reported(rate_limiter);
 	}
 }
 
@@ -461,23 +465,24 @@
 	std::vector<team> one = {{"t", 1000, 10, 10}};
 	fleet all(2, one);
 	uint32_t id = all.teams[0].id;
-	comet_allowance *keeper = all.vms[0].allowance;
+	comet_rate_limiter *keeper = all.vms[0].rate_limiter;
 	uint32_t wait_ms = 1;
-	double before = comet_allowance_left(keeper, id, all.now_us);
+	double before = comet_rate_limiter_remaining(keeper, id, all.now_us);
 
-	EXPECT_TRUE(comet_allowance_charge_for(keeper, 2, id, 0, 500, all.now_us, &wait_ms));
+	EXPECT_TRUE(comet_rate_limiter_charge_remote(keeper, 2, id, 0, 500, all.now_us, &wait_ms));
 	EXPECT_EQ(wait_ms, 0U);
-	EXPECT_EQ(comet_allowance_left(keeper, id, all.now_us), before - 500);
-	comet_allowance_spent_elsewhere(keeper, 2, id, 700, all.now_us);
-	EXPECT_EQ(comet_allowance_left(keeper, id, all.now_us), before - 700);
-	EXPECT_TRUE(comet_allowance_charge_for(keeper, 2, id, 0, 300, all.now_us, &wait_ms));
-	comet_allowance_returned_by(keeper, 2, id, 300, all.now_us);
-	EXPECT_EQ(comet_allowance_left(keeper, id, all.now_us), before - 700);
-	EXPECT_TRUE(comet_allowance_charge_for(keeper, 2, id, 0, 300, all.now_us, &wait_ms));
-	comet_allowance_vm_restarted(keeper, 2); /* what it was charged before is told no more */
-	comet_allowance_spent_elsewhere(keeper, 2, id, 100, all.now_us);
-	EXPECT_EQ(comet_allowance_left(keeper, id, all.now_us), before - 1100);
-	EXPECT_FALSE(comet_allowance_charge_for(keeper, 2, id + 1, 0, 1, all.now_us, &wait_ms));
+	EXPECT_EQ(comet_rate_limiter_remaining(keeper, id, all.now_us), before - 500);
+	comet_rate_limiter_merge_remote(keeper, 2, id, 700, all.now_us);
+	EXPECT_EQ(comet_rate_limiter_remaining(keeper, id, all.now_us), before - 700);
+	EXPECT_TRUE(comet_rate_limiter_charge_remote(keeper, 2, id, 0, 300, all.now_us, &wait_ms));
+	comet_rate_limiter_refund_remote(keeper, 2, id, 300, all.now_us);
+	EXPECT_EQ(comet_rate_limiter_remaining(keeper, id, all.now_us), before - 700);
+	EXPECT_TRUE(comet_rate_limiter_charge_remote(keeper, 2, id, 0, 300, all.now_us, &wait_ms));
+	comet_rate_limiter_vm_restarted(keeper, 2); /* what it was charged before is told no more */
+	comet_rate_limiter_merge_remote(keeper, 2, id, 100, all.now_us);
+	EXPECT_EQ(comet_rate_limiter_remaining(keeper, id, all.now_us), before - 1100);
+	EXPECT_FALSE(
+		comet_rate_limiter_charge_remote(keeper, 2, id + 1, 0, 1, all.now_us, &wait_ms));
 }
 
 } // namespace
--- a/tests/unit/test_lives.cc
+++ b/tests/unit/test_lives.cc
@@ -6,8 +6,8 @@
 
 extern "C"
 {
-#include <libcometspindle/gateway/endpoints/lives.h>
-#include <platform/catalog.h>
+#include <libcometspindle/gateway/endpoints/incarnations.h>
+#include <platform/replica.h>
 #include <platform/server_entry.h>
 }
 #include <algorithm>
@@ -18,14 +18,15 @@
 namespace
 {
 
-/* A server's entry; born_ms 0: it names no life. */
+/* A server's entry; process_start_ms 0: it names no life. */
 std::string
-entry(uint64_t born_ms, const char *state)
+entry(uint64_t process_start_ms, const char *state)
 {
 	return std::string("{\"service\":\"x\",\"address\":\"10.0.0.1:80\",\"zone\":\"a\","
 			   "\"version\":\"v1\",\"slots\":4,\"warmup_left_ms\":0,\"sequence\":1,"
 			   "\"state\":\"") +
-	       state + "\"" + (born_ms != 0 ? ",\"born\":" + std::to_string(born_ms) : "") + "}";
+	       state + "\"" +
+	       (process_start_ms != 0 ? ",\"born\":" + std::to_string(process_start_ms) : "") + "}";
 }
 
 const std::string first_ready = entry(1000, "ready");
@@ -38,14 +39,14 @@
 struct reader
 {
 	comet_instances *instances = comet_instances_create(nullptr, "a");
-	comet_lives *lives = comet_lives_create(instances);
-	comet_catalog *catalog;
+	comet_incarnations *lives = comet_incarnations_create(instances);
+	comet_replica *replica;
 	int faults = 0;
 
 	reader()
 	{
-		static const comet_catalog_events events = {put, removed, nullptr, nullptr};
-		catalog = comet_catalog_create(instances, &events, this);
+		static const comet_replica_events events = {put, removed, nullptr, nullptr};
+		replica = comet_replica_create(instances, &events, this);
 	}
 
 	~reader()
@@ -57,14 +58,15 @@
 	take(void *ctx, const comet_instance_record *record)
 	{
 		auto *self = static_cast<reader *>(ctx);
-		uint64_t before = comet_lives_born_ms(self->lives, "i");
-		enum comet_life life = comet_lives_tell(self->lives, record, 1);
-		if (life == COMET_LIFE_LATEST)
+		uint64_t before = comet_incarnations_start_ms(self->lives, "i");
+		enum comet_incarnation_order incarnation_key =
+			comet_incarnations_observe(self->lives, record, 1);
+		if (incarnation_key == COMET_INCARNATION_LATEST)
 			comet_instances_put(self->instances, record, 1);
-		else if (life == COMET_LIFE_UNTOLD)
+		else if (incarnation_key == COMET_INCARNATION_UNSPECIFIED)
 			comet_instances_remove(self->instances, "i");
 		/* never back to an earlier life */
-		self->faults += comet_lives_born_ms(self->lives, "i") < before ? 1 : 0;
+		self->faults += comet_incarnations_start_ms(self->lives, "i") < before ? 1 : 0;
 	}
 
 	static void
@@ -78,7 +80,7 @@
 	static void
 	removed(void *ctx, const char *, bool)
 	{
-		comet_lives_forget(static_cast<reader *>(ctx)->lives, "i");
+		comet_incarnations_forget(static_cast<reader *>(ctx)->lives, "i");
 		comet_instances_remove(static_cast<reader *>(ctx)->instances, "i");
 	}
 
@@ -86,7 +88,7 @@
 	born() const
 	{
 		const comet_instance *instance = comet_instances_find(instances, "i");
-		return instance != nullptr ? instance->born_ms : 0;
+		return instance != nullptr ? instance->process_start_ms : 0;
 	}
 
 	bool
@@ -99,26 +101,26 @@
 	void
 	tell(const comet_store_item &item)
 	{
-		comet_catalog_take(catalog, &item, 1, false);
+		comet_replica_merge(replica, &item, 1, false);
 	}
 
 	void
 	list(const comet_store_item &item)
 	{
-		comet_catalog_list_begin(catalog);
-		comet_catalog_take(catalog, &item, 1, false);
-		comet_catalog_list_end(catalog, item.revision, false);
+		comet_replica_list_begin(replica);
+		comet_replica_merge(replica, &item, 1, false);
+		comet_replica_list_end(replica, item.revision, false);
 	}
 
 	/* Another VM's copy, which is taken only if that VM knows more. */
 	bool
 	copy(const comet_store_item &item)
 	{
-		comet_store_answer answer = {};
+		comet_store_response answer = {};
 		answer.items = &item;
 		answer.n_items = 1;
 		answer.revision = item.revision;
-		return comet_catalog_take_snapshot(catalog, &answer, false);
+		return comet_replica_merge_snapshot(replica, &answer, false);
 	}
 };
 
@@ -207,7 +209,7 @@
 /* One id's entries, as the lives are told of them. */
 struct Lives : ::testing::Test
 {
-	comet_lives *lives = comet_lives_create(nullptr);
+	comet_incarnations *lives = comet_incarnations_create(nullptr);
 	std::string believed;
 
 	~Lives() override
@@ -215,12 +217,12 @@
 		talloc_free(lives);
 	}
 
-	comet_life
-	tell(uint64_t born_ms, uint64_t now_us = 0)
+	comet_incarnation_order
+	tell(uint64_t process_start_ms, uint64_t now_us = 0)
 	{
 		comet_instance_record record = {
-			"i", "llm", "127.0.0.1:1", "z", 4, 0, false, born_ms};
-		return comet_lives_tell(lives, &record, now_us);
+			"i", "llm", "127.0.0.1:1", "z", 4, 0, false, process_start_ms};
+		return comet_incarnations_observe(lives, &record, now_us);
 	}
 
 	/* What is believed by then. */
@@ -228,13 +230,13 @@
 	at(uint64_t now_us)
 	{
 		believed.clear();
-		comet_lives_tick(
+		comet_incarnations_tick(
 			lives, now_us,
 			[](void *ctx, const comet_instance_record *record)
 			{
-				*static_cast<std::string *>(ctx) = std::string(record->address) +
-								   " " +
-								   std::to_string(record->born_ms);
+				*static_cast<std::string *>(ctx) =
+					std::string(record->address) + " " +
+					std::to_string(record->process_start_ms);
 			},
 			&believed);
 		return believed;
@@ -243,14 +245,14 @@
 
 TEST_F(Lives, TheLatestBirthCounts)
 {
-	EXPECT_EQ(tell(0), COMET_LIFE_LATEST); /* a server that tells none */
-	EXPECT_EQ(tell(0), COMET_LIFE_LATEST);
-	EXPECT_EQ(tell(1000), COMET_LIFE_LATEST);
-	EXPECT_EQ(tell(1000), COMET_LIFE_LATEST);
-	EXPECT_EQ(tell(2000), COMET_LIFE_LATEST);
-	EXPECT_EQ(tell(1000), COMET_LIFE_EARLIER);
-	EXPECT_EQ(tell(0), COMET_LIFE_UNTOLD);
-	EXPECT_EQ(comet_lives_born_ms(lives, "i"), 2000U);
+	EXPECT_EQ(tell(0), COMET_INCARNATION_LATEST); /* a server that tells none */
+	EXPECT_EQ(tell(0), COMET_INCARNATION_LATEST);
+	EXPECT_EQ(tell(1000), COMET_INCARNATION_LATEST);
+	EXPECT_EQ(tell(1000), COMET_INCARNATION_LATEST);
+	EXPECT_EQ(tell(2000), COMET_INCARNATION_LATEST);
+	EXPECT_EQ(tell(1000), COMET_INCARNATION_EARLIER);
+	EXPECT_EQ(tell(0), COMET_INCARNATION_UNSPECIFIED);
+	EXPECT_EQ(comet_incarnations_start_ms(lives, "i"), 2000U);
 }
 
 /* The clock of a server's machine may have been set back before it started again: its entry names
@@ -265,7 +267,7 @@
 	tell(1000, 20 * second_us);
 	EXPECT_EQ(at(25 * second_us), "127.0.0.1:1 1000");
 	EXPECT_EQ(at(40 * second_us), "");
-	EXPECT_EQ(tell(1000), COMET_LIFE_LATEST);
+	EXPECT_EQ(tell(1000), COMET_INCARNATION_LATEST);
 }
 
 /* What is listed no more may be used on for a while, in which a late word of its earlier life is as
@@ -273,16 +275,16 @@
 TEST_F(Lives, WhatIsUsedOnStillHasItsLife)
 {
 	tell(2000);
-	comet_lives_lapse(lives, "i");
-	EXPECT_EQ(tell(1000, second_us), COMET_LIFE_EARLIER);
-	comet_lives_forget_lapsed(lives, "i"); /* an entry came: its word still counts */
+	comet_incarnations_schedule_expiry(lives, "i");
+	EXPECT_EQ(tell(1000, second_us), COMET_INCARNATION_EARLIER);
+	comet_incarnations_expire(lives, "i"); /* an entry came: its word still counts */
 	EXPECT_EQ(at(7 * second_us), "127.0.0.1:1 1000");
-	comet_lives_lapse(lives, "i");
-	comet_lives_forget_lapsed(lives, "i");
-	EXPECT_EQ(comet_lives_born_ms(lives, "i"), 0U);
+	comet_incarnations_schedule_expiry(lives, "i");
+	comet_incarnations_expire(lives, "i");
+	EXPECT_EQ(comet_incarnations_start_ms(lives, "i"), 0U);
 	tell(1000);
 	tell(500, second_us);
-	comet_lives_lapse(lives, "i"); /* the entry that told it is gone as well */
+	comet_incarnations_schedule_expiry(lives, "i"); /* the entry that told it is gone as well */
 	EXPECT_EQ(at(20 * second_us), "");
 }
 
@@ -290,9 +292,9 @@
 {
 	tell(2000);
 	tell(1000);
-	comet_lives_forget(lives, "i");
+	comet_incarnations_forget(lives, "i");
 	EXPECT_EQ(at(20 * second_us), "");
-	EXPECT_EQ(tell(1000), COMET_LIFE_LATEST);
+	EXPECT_EQ(tell(1000), COMET_INCARNATION_LATEST);
 }
 
 } // namespace
--- a/tests/unit/test_log_budget.cc
+++ b/tests/unit/test_log_budget.cc
@@ -18,15 +18,15 @@
 {
 	comet_log_budget budget;
 	unsigned int usual = 0;
-	unsigned int weighty = 0;
+	unsigned int important = 0;
 
 	comet_log_budget_init(&budget, 100, 0);
 	for (int i = 0; i < 1000; i++)
 		usual += comet_log_budget_take(&budget, false, 0);
 	for (int i = 0; i < 1000; i++)
-		weighty += comet_log_budget_take(&budget, true, 0);
+		important += comet_log_budget_take(&budget, true, 0);
 	EXPECT_EQ(usual, 67U);
-	EXPECT_EQ(weighty, 33U);
+	EXPECT_EQ(important, 33U);
 	unsigned int later = 0;
 	for (uint64_t now_us = 0; now_us < 10000000; now_us += 1000)
 		later += comet_log_budget_take(&budget, true, now_us);
@@ -40,9 +40,9 @@
 
 	comet_log_budget_init(&budget, 1, 0);
 	EXPECT_FALSE(comet_log_budget_summary(&budget, line, sizeof line, 5000000));
-	comet_log_budget_leave_out(&budget, "event=refused request=r1 status=503");
-	comet_log_budget_leave_out(&budget, "event=refused request=r2 status=503");
-	comet_log_budget_leave_out(&budget, "event=vm_lost vm=1");
+	comet_log_budget_suppress(&budget, "event=refused request=r1 status=503");
+	comet_log_budget_suppress(&budget, "event=refused request=r2 status=503");
+	comet_log_budget_suppress(&budget, "event=vm_lost vm=1");
 	EXPECT_FALSE(comet_log_budget_summary(&budget, line, sizeof line, 900000));
 	EXPECT_TRUE(comet_log_budget_summary(&budget, line, sizeof line, 1000000));
 	EXPECT_STREQ(line, "event=lines_left_out ms=1000 refused=2 refused_sample=r1 vm_lost=1");
@@ -63,7 +63,7 @@
 		if (comet_log_budget_take_repeated(&budget, "event=vm_heard vm=1", 1000000))
 			heard++;
 		else
-			comet_log_budget_leave_out(&budget, "event=vm_heard vm=1");
+			comet_log_budget_suppress(&budget, "event=vm_heard vm=1");
 	}
 	lost += comet_log_budget_take_repeated(&budget, "event=vm_lost vm=1", 1500000);
 	EXPECT_EQ(heard, 8U);
@@ -89,9 +89,9 @@
 	{
 		std::string text = "event=kind" + std::to_string(i) + std::string(100, 'x') +
 				   " request=" + std::string(300, 'y');
-		comet_log_budget_leave_out(&budget, text.c_str());
+		comet_log_budget_suppress(&budget, text.c_str());
 	}
-	comet_log_budget_leave_out(&budget, "no event at all");
+	comet_log_budget_suppress(&budget, "no event at all");
 	EXPECT_TRUE(comet_log_budget_summary(&budget, line, sizeof line, 2000000));
 	EXPECT_LT(std::string(line).size(), sizeof line);
 }
--- a/tests/unit/test_overload.cc
+++ b/tests/unit/test_overload.cc
@@ -25,7 +25,7 @@
 	double per_s;
 	uint32_t prompt;
 	uint32_t output;
-	uint64_t aim_us;
+	uint64_t soft_deadline_us;
 	uint64_t patience_us;
 };
 
@@ -65,7 +65,7 @@
 	uint32_t address;
 	uint32_t rank;
 	uint64_t since_us;
-	uint64_t aim_us;
+	uint64_t soft_deadline_us;
 };
 
 struct overload
@@ -96,10 +96,10 @@
 		one->service = "llm";
 		one->job = {(uint32_t)(what.prompt * size(draw)), what.output, what.output, true};
 		one->route_rank = rank;
-		one->latest_us = all.now_us + what.patience_us * 3 / 4;
-		one->early_us = all.now_us + what.aim_us / 4;
-		one->aim_us = all.now_us + what.aim_us;
-		open[one] = {address, rank, all.now_us, one->aim_us};
+		one->dispatch_deadline_us = all.now_us + what.patience_us * 3 / 4;
+		one->early_us = all.now_us + what.soft_deadline_us / 4;
+		one->soft_deadline_us = all.now_us + what.soft_deadline_us;
+		open[one] = {address, rank, all.now_us, one->soft_deadline_us};
 		outcomes[rank].asked++;
 		all.items.push_back(std::move(item));
 		comet_placement_submit(all.vms[address].placement, one, all.now_us);
@@ -181,7 +181,8 @@
 			{
 				one.runs[i].begun = true;
 				outcome &of = outcomes[found->second.rank];
-				(done.first_us <= found->second.aim_us ? of.in_time : of.late)++;
+				(done.first_us <= found->second.soft_deadline_us ? of.in_time
+										 : of.late)++;
 			}
 			if (done.output_left > 0)
 			{
--- a/tests/unit/test_pack.cc
+++ b/tests/unit/test_pack.cc
@@ -6,7 +6,7 @@
 
 extern "C"
 {
-#include <libcometspindle/pack.h>
+#include <libcometspindle/compress.h>
 }
 #include <string>
 
@@ -15,7 +15,7 @@
 
 constexpr size_t MAX_BYTES = 4 * 1024 * 1024;
 
-comet_text
+comet_byte_span
 text_of(const std::string &text)
 {
 	return {text.data(), text.size()};
@@ -25,7 +25,7 @@
 digest_of(const std::string &text)
 {
 	char digest[COMET_DIGEST_CHARS];
-	comet_text view = text_of(text);
+	comet_byte_span view = text_of(text);
 
 	comet_digest(&view, digest);
 	return digest;
@@ -34,9 +34,9 @@
 std::string
 packed(const std::string &text, const std::string *base)
 {
-	comet_text view = text_of(text);
-	comet_text before = base != nullptr ? text_of(*base) : comet_text{};
-	GBytes *bytes = comet_pack(&view, base != nullptr ? &before : nullptr);
+	comet_byte_span view = text_of(text);
+	comet_byte_span before = base != nullptr ? text_of(*base) : comet_byte_span{};
+	GBytes *bytes = comet_compress(&view, base != nullptr ? &before : nullptr);
 	std::string result(static_cast<const char *>(g_bytes_get_data(bytes, nullptr)),
 		g_bytes_get_size(bytes));
 
@@ -49,10 +49,10 @@
 unpacked(const std::string &text, const std::string *base, const std::string &digest,
 	size_t max_bytes = MAX_BYTES)
 {
-	comet_text view = text_of(text);
-	comet_text before = base != nullptr ? text_of(*base) : comet_text{};
+	comet_byte_span view = text_of(text);
+	comet_byte_span before = base != nullptr ? text_of(*base) : comet_byte_span{};
 	GError *error = nullptr;
-	GBytes *bytes = comet_unpack(
+	GBytes *bytes = comet_decompress(
 		&view, base != nullptr ? &before : nullptr, max_bytes, digest.c_str(), &error);
 
 	EXPECT_EQ(bytes == nullptr, error != nullptr);
--- a/tests/unit/test_platform.cc
+++ b/tests/unit/test_platform.cc
@@ -7,7 +7,7 @@
 extern "C"
 {
 #include <libcometspindle/adapters/http_reader.h>
-#include <platform/catalog.h>
+#include <platform/replica.h>
 }
 #include <algorithm>
 #include <map>
@@ -31,14 +31,14 @@
 	}
 
 	static void
-	removed(void *ctx, const char *key, bool doubtful)
+	removed(void *ctx, const char *key, bool tentative)
 	{
 		static_cast<told *>(ctx)->lines.push_back(
-			std::string("removed ") + key + (doubtful ? "?" : ""));
+			std::string("removed ") + key + (tentative ? "?" : ""));
 	}
 };
 
-const comet_catalog_events told_events = {told::put, told::removed, nullptr, nullptr};
+const comet_replica_events told_events = {told::put, told::removed, nullptr, nullptr};
 
 comet_store_item
 put(const char *key, const char *value, uint64_t revision)
@@ -55,20 +55,20 @@
 TEST(Catalog, ItemsOnlyMoveForward)
 {
 	told told;
-	comet_catalog *catalog = comet_catalog_create(nullptr, &told_events, &told);
+	comet_replica *replica = comet_replica_create(nullptr, &told_events, &told);
 	comet_store_item first = put("a", "1", 5);
-	comet_catalog_list_begin(catalog);
-	comet_catalog_take(catalog, &first, 1, false);
-	EXPECT_EQ(comet_catalog_position(catalog), 0U); /* the list is not complete */
-	comet_catalog_list_end(catalog, 6, false);
-	EXPECT_EQ(comet_catalog_position(catalog), 5U);
+	comet_replica_list_begin(replica);
+	comet_replica_merge(replica, &first, 1, false);
+	EXPECT_EQ(comet_replica_position(replica), 0U); /* the list is not complete */
+	comet_replica_list_end(replica, 6, false);
+	EXPECT_EQ(comet_replica_position(replica), 5U);
 	/* older news, the same news, a removal, and news from before the removal */
 	comet_store_item news[] = {put("a", "0", 4), put("a", "1", 5), put("a", nullptr, 9),
 		put("a", "8", 8), put("a", "10", 10)};
-	comet_catalog_take(catalog, news, 5, false);
+	comet_replica_merge(replica, news, 5, false);
 	std::vector<std::string> expected = {"put a=1", "removed a", "put a=10"};
 	EXPECT_EQ(told.lines, expected);
-	talloc_free(catalog);
+	talloc_free(replica);
 }
 
 /* What a catalog told last of each key; an older word after a newer one is a fault. */
@@ -97,7 +97,7 @@
 TEST(Catalog, WhatIsLongGoneIsForgotten)
 {
 	told told;
-	comet_catalog *catalog = comet_catalog_create(nullptr, &told_events, &told);
+	comet_replica *replica = comet_replica_create(nullptr, &told_events, &told);
 	constexpr uint64_t count = 20000;
 
 	for (uint64_t i = 1; i <= count; i++)
@@ -105,29 +105,29 @@
 		std::string key = "servers/i-" + std::to_string(i);
 		comet_store_item come = put(key.c_str(), "1", 2 * i);
 		comet_store_item go = put(key.c_str(), nullptr, 2 * i + 1);
-		comet_catalog_take(catalog, &come, 1, false);
-		comet_catalog_take(catalog, &go, 1, false);
-		comet_catalog_take(catalog, &come, 1, false); /* late news of what has just gone */
+		comet_replica_merge(replica, &come, 1, false);
+		comet_replica_merge(replica, &go, 1, false);
+		comet_replica_merge(replica, &come, 1, false); /* late news of what has just gone */
 	}
 	EXPECT_EQ(told.lines.size(), 2 * count);
-	EXPECT_LE(comet_catalog_size(catalog), 5000U);
+	EXPECT_LE(comet_replica_size(replica), 5000U);
 	/* what came back is not forgotten, however often it goes */
 	comet_store_item stays = put("stays", "1", 3 * count);
-	comet_catalog_take(catalog, &stays, 1, false);
+	comet_replica_merge(replica, &stays, 1, false);
 	for (uint64_t i = 1; i <= count; i++)
 	{
 		comet_store_item go = put("again", nullptr, 3 * count + 2 * i);
 		comet_store_item come = put("again", "1", 3 * count + 2 * i + 1);
-		comet_catalog_take(catalog, &go, 1, false);
-		comet_catalog_take(catalog, &come, 1, false);
+		comet_replica_merge(replica, &go, 1, false);
+		comet_replica_merge(replica, &come, 1, false);
 	}
 	told.lines.clear();
-	comet_catalog_list_begin(catalog);
-	comet_catalog_list_end(catalog, 9 * count, false);
+	comet_replica_list_begin(replica);
+	comet_replica_list_end(replica, 9 * count, false);
 	std::sort(told.lines.begin(), told.lines.end());
 	std::vector<std::string> expected = {"removed again", "removed stays"};
 	EXPECT_EQ(told.lines, expected);
-	talloc_free(catalog);
+	talloc_free(replica);
 }
 
 bool
@@ -136,7 +136,7 @@
 	return key[0] == 's';
 }
 
-const comet_catalog_events standing_events = {told::put, told::removed, stands, nullptr};
+const comet_replica_events standing_events = {told::put, told::removed, stands, nullptr};
 
 /* The first list of an era: what is known of some keys stands until it is written again; what comes
  * back of what went in doubt, as in an outage, is back. Found by the soak, seed 13: the store went
@@ -145,46 +145,46 @@
 TEST(Catalog, AnotherEraBeginsAnew)
 {
 	told told;
-	comet_catalog *catalog = comet_catalog_create(nullptr, &standing_events, &told);
+	comet_replica *replica = comet_replica_create(nullptr, &standing_events, &told);
 	comet_store_item first[] = {put("s1", "ready", 11), put("s2", "ready", 12),
 		put("s3", "ready", 13), put("doc", "5", 14)};
 
-	comet_catalog_begin_era(catalog, 3);
-	comet_catalog_list_begin(catalog);
-	comet_catalog_take(catalog, first, 4, false);
-	comet_catalog_list_end(catalog, 14, false);
+	comet_replica_begin_epoch(replica, 3);
+	comet_replica_list_begin(replica);
+	comet_replica_merge(replica, first, 4, false);
+	comet_replica_list_end(replica, 14, false);
 	comet_store_item later[] = {put("s1", "draining", 15), put("s2", nullptr, 16)};
-	comet_catalog_take(catalog, later, 2, false);
+	comet_replica_merge(replica, later, 2, false);
 	told.lines.clear();
 
-	comet_catalog_begin_era(catalog, 4);
-	comet_catalog_list_begin(catalog);
+	comet_replica_begin_epoch(replica, 4);
+	comet_replica_list_begin(replica);
 	comet_store_item copy[] = {
 		put("s1", "ready", 11), put("s2", "ready", 12), put("doc", "4", 9)};
-	comet_catalog_take(catalog, copy, 3, false);
-	comet_catalog_list_end(catalog, 13, true);
+	comet_replica_merge(replica, copy, 3, false);
+	comet_replica_list_end(replica, 13, true);
 	std::vector<std::string> expected = {"put doc=4", "removed s3?"};
 	EXPECT_EQ(told.lines, expected);
-	EXPECT_EQ(comet_catalog_position(catalog), comet_directory_position(4, 12));
+	EXPECT_EQ(comet_replica_position(replica), comet_directory_position(4, 12));
 	told.lines.clear();
 
-	comet_catalog_begin_era(catalog, 5);
-	comet_catalog_list_begin(catalog);
+	comet_replica_begin_epoch(replica, 5);
+	comet_replica_list_begin(replica);
 	comet_store_item again[] = {
 		put("s1", "ready", 8), put("s2", "ready", 9), put("s3", "ready", 7)};
-	comet_catalog_take(catalog, again, 3, false);
-	comet_catalog_list_end(catalog, 9, true);
+	comet_replica_merge(replica, again, 3, false);
+	comet_replica_list_end(replica, 9, true);
 	comet_store_item written[] = {put("s1", "ready", 10), put("s2", "ready", 11)};
-	comet_catalog_take(catalog, written, 2, false);
+	comet_replica_merge(replica, written, 2, false);
 	expected = {"put s3=ready", "removed doc?", "put s1=ready", "put s2=ready"};
 	EXPECT_EQ(told.lines, expected);
-	talloc_free(catalog);
+	talloc_free(replica);
 }
 
 /* Six changes in every order, each of them lost once or none, and a list after so many of them. */
 TEST(Catalog, NoOrderOfChangesBringsAnOlderOne)
 {
-	static const comet_catalog_events events = {newest::put, newest::removed, nullptr, nullptr};
+	static const comet_replica_events events = {newest::put, newest::removed, nullptr, nullptr};
 	const comet_store_item changes[] = {put("a", "1", 1), put("b", "2", 2), put("a", "3", 3),
 		put("b", nullptr, 4), put("a", "5", 5), put("b", "6", 6)};
 	const comet_store_item list[] = {changes[4], changes[5]};
@@ -198,24 +198,24 @@
 			for (int listed = 0; listed <= 6; listed++)
 			{
 				newest told;
-				comet_catalog *catalog =
-					comet_catalog_create(nullptr, &events, &told);
+				comet_replica *replica =
+					comet_replica_create(nullptr, &events, &told);
 				for (int i = 0; i <= 6; i++)
 				{
 					if (i == listed)
 					{
-						comet_catalog_list_begin(catalog);
-						comet_catalog_take(catalog, list, 2, false);
-						comet_catalog_list_end(catalog, 6, false);
+						comet_replica_list_begin(replica);
+						comet_replica_merge(replica, list, 2, false);
+						comet_replica_list_end(replica, 6, false);
 					}
 					if (i < 6 && i != lost)
-						comet_catalog_take(
-							catalog, &changes[order[i]], 1, false);
+						comet_replica_merge(
+							replica, &changes[order[i]], 1, false);
 				}
 				ASSERT_EQ(told.faults, 0);
 				ASSERT_EQ(told.values["a"], 5U);
 				ASSERT_EQ(told.values["b"], 6U);
-				talloc_free(catalog);
+				talloc_free(replica);
 				runs++;
 			}
 		}
@@ -228,34 +228,34 @@
 TEST(Catalog, ChangesAreTakenInOrderAndNothingIsLeftOut)
 {
 	told told;
-	comet_catalog *reader = comet_catalog_create(nullptr, &told_events, &told);
+	comet_replica *reader = comet_replica_create(nullptr, &told_events, &told);
 	comet_store_item items[] = {put("a", "1", 1), put("b", "1", 2), put("c", "1", 3)};
 	comet_store_item later[] = {put("a", "2", 4), put("b", nullptr, 5)};
-	auto read = [](comet_catalog *catalog, comet_store_item *list, size_t count, uint64_t to)
+	auto read = [](comet_replica *replica, comet_store_item *list, size_t count, uint64_t to)
 	{
-		comet_catalog_list_begin(catalog);
-		comet_catalog_take(catalog, list, count, false);
-		comet_catalog_list_end(catalog, to, false);
+		comet_replica_list_begin(replica);
+		comet_replica_merge(replica, list, count, false);
+		comet_replica_list_end(replica, to, false);
 	};
-	EXPECT_EQ(comet_catalog_delta(reader, 3, 0), nullptr) << "nothing was read";
+	EXPECT_EQ(comet_replica_delta(reader, 3, 0), nullptr) << "nothing was read";
 	read(reader, items, 3, 3);
-	comet_catalog_take(reader, later, 2, false);
+	comet_replica_merge(reader, later, 2, false);
 	told.lines.clear();
 
 	struct follower
 	{
-		comet_catalog *catalog;
+		comet_replica *replica;
 		bool taken;
-	} follower = {comet_catalog_create(nullptr, &told_events, &told), false};
-	auto take = [](void *ctx, const comet_store_answer *answer)
+	} follower = {comet_replica_create(nullptr, &told_events, &told), false};
+	auto take = [](void *ctx, const comet_store_response *answer)
 	{
 		auto *one = static_cast<struct follower *>(ctx);
 		EXPECT_TRUE(answer->is_delta);
-		one->taken = comet_catalog_take_delta(one->catalog, answer, answer->out_ms != 0);
+		one->taken = comet_replica_merge_delta(one->replica, answer, answer->out_ms != 0);
 	};
 	auto offer = [&](uint64_t after, uint64_t out_ms)
 	{
-		GBytes *changes = comet_catalog_delta(reader, after, out_ms);
+		GBytes *changes = comet_replica_delta(reader, after, out_ms);
 		gsize length = 0;
 		const char *text = (const char *)g_bytes_get_data(changes, &length);
 		EXPECT_TRUE(comet_store_parse(text, length, take, &follower, nullptr));
@@ -263,7 +263,7 @@
 		return follower.taken;
 	};
 	EXPECT_FALSE(offer(3, 0)) << "it knows nothing before them";
-	read(follower.catalog, items, 3, 3);
+	read(follower.replica, items, 3, 3);
 	told.lines.clear();
 	EXPECT_FALSE(offer(4, 0)) << "one before them is missing";
 	EXPECT_TRUE(told.lines.empty());
@@ -271,27 +271,27 @@
 	std::sort(told.lines.begin(), told.lines.end());
 	std::vector<std::string> expected = {"put a=2", "removed b?"};
 	EXPECT_EQ(told.lines, expected);
-	EXPECT_EQ(comet_catalog_position(follower.catalog), comet_catalog_position(reader));
+	EXPECT_EQ(comet_replica_position(follower.replica), comet_replica_position(reader));
 	EXPECT_FALSE(offer(3, 0)) << "they are not newer";
-	comet_catalog_begin_era(reader, 1); /* the name of what was read all along */
-	EXPECT_EQ(comet_catalog_delta(reader, 3, 0), nullptr) << "of another era";
+	comet_replica_begin_epoch(reader, 1); /* the name of what was read all along */
+	EXPECT_EQ(comet_replica_delta(reader, 3, 0), nullptr) << "of another era";
 	talloc_free(reader);
-	talloc_free(follower.catalog);
+	talloc_free(follower.replica);
 }
 
 TEST(Catalog, AListDropsWhatItDoesNotNameUnlessThatIsNewer)
 {
 	told told;
-	comet_catalog *catalog = comet_catalog_create(nullptr, &told_events, &told);
+	comet_replica *replica = comet_replica_create(nullptr, &told_events, &told);
 	comet_store_item items[] = {put("a", "1", 1), put("b", "1", 2), put("c", "1", 30)};
-	comet_catalog_take(catalog, items, 3, false);
+	comet_replica_merge(replica, items, 3, false);
 	told.lines.clear();
-	comet_catalog_list_begin(catalog);
-	comet_catalog_take(catalog, items, 1, false);
-	comet_catalog_list_end(catalog, 20, true);
+	comet_replica_list_begin(replica);
+	comet_replica_merge(replica, items, 1, false);
+	comet_replica_list_end(replica, 20, true);
 	std::vector<std::string> expected = {"removed b?"};
 	EXPECT_EQ(told.lines, expected);
-	talloc_free(catalog);
+	talloc_free(replica);
 }
 
 /* Found by a day in which a VM was cut off: what leaves after the store is back has really left,
@@ -299,46 +299,46 @@
 TEST(Catalog, OnlyWhatWentInAnOutageIsDoubted)
 {
 	told told;
-	comet_catalog *catalog = comet_catalog_create(nullptr, &told_events, &told);
+	comet_replica *replica = comet_replica_create(nullptr, &told_events, &told);
 	comet_store_item items[] = {put("a", "1", 1), put("b", "1", 2)};
 	comet_store_item in_outage = put("a", nullptr, 3);
 	comet_store_item after = put("b", nullptr, 4);
-	comet_catalog_take(catalog, items, 2, false);
+	comet_replica_merge(replica, items, 2, false);
 	told.lines.clear();
-	comet_catalog_take(catalog, &in_outage, 1, true);
-	comet_catalog_take(catalog, &after, 1, false);
+	comet_replica_merge(replica, &in_outage, 1, true);
+	comet_replica_merge(replica, &after, 1, false);
 	std::vector<std::string> expected = {"removed a?", "removed b"};
 	EXPECT_EQ(told.lines, expected);
-	talloc_free(catalog);
+	talloc_free(replica);
 }
 
 void
-take_copy(void *ctx, const comet_store_answer *answer)
+take_copy(void *ctx, const comet_store_response *answer)
 {
-	EXPECT_TRUE(comet_catalog_take_snapshot(static_cast<comet_catalog *>(ctx), answer, true));
+	EXPECT_TRUE(comet_replica_merge_snapshot(static_cast<comet_replica *>(ctx), answer, true));
 }
 
 TEST(Catalog, ACopyBringsAnotherVmToTheSamePlace)
 {
 	told from_told;
 	told to_told;
-	comet_catalog *from = comet_catalog_create(nullptr, &told_events, &from_told);
-	comet_catalog *to = comet_catalog_create(nullptr, &told_events, &to_told);
-	EXPECT_EQ(comet_catalog_snapshot(from), nullptr);
+	comet_replica *from = comet_replica_create(nullptr, &told_events, &from_told);
+	comet_replica *to = comet_replica_create(nullptr, &told_events, &to_told);
+	EXPECT_EQ(comet_replica_snapshot(from), nullptr);
 	comet_store_item items[] = {put("a", "1", 1), put("b", "x\n\"y", 2)};
-	comet_catalog_list_begin(from);
-	comet_catalog_take(from, items, 2, false);
-	comet_catalog_list_end(from, 2, false);
+	comet_replica_list_begin(from);
+	comet_replica_merge(from, items, 2, false);
+	comet_replica_list_end(from, 2, false);
 	comet_store_item gone = put("c", "1", 1);
-	comet_catalog_list_begin(to);
-	comet_catalog_take(to, &gone, 1, false);
-	comet_catalog_list_end(to, 1, false);
-	GBytes *copy = comet_catalog_snapshot(from);
+	comet_replica_list_begin(to);
+	comet_replica_merge(to, &gone, 1, false);
+	comet_replica_list_end(to, 1, false);
+	GBytes *copy = comet_replica_snapshot(from);
 	gsize length = 0;
 	auto *text = static_cast<const char *>(g_bytes_get_data(copy, &length));
 	EXPECT_TRUE(comet_store_parse(text, length, take_copy, to, nullptr));
 	g_bytes_unref(copy);
-	EXPECT_EQ(comet_catalog_position(to), 2U);
+	EXPECT_EQ(comet_replica_position(to), 2U);
 	std::vector<std::string> lines = to_told.lines;
 	std::sort(lines.begin(), lines.end());
 	std::vector<std::string> expected = {"put a=1", "put b=x\n\"y", "put c=1", "removed c?"};
@@ -348,7 +348,7 @@
 }
 
 void
-ignore_answer(void *, const comet_store_answer *)
+ignore_answer(void *, const comet_store_response *)
 {
 }
 
@@ -363,7 +363,7 @@
 		std::vector<std::string> lines;
 
 		static void
-		take(void *ctx, const comet_store_answer *answer)
+		take(void *ctx, const comet_store_response *answer)
 		{
 			for (size_t i = 0; i < answer->n_items; i++)
 				static_cast<items *>(ctx)->lines.push_back(
--- a/tests/unit/test_readers.cc
+++ b/tests/unit/test_readers.cc
@@ -6,7 +6,7 @@
 
 extern "C"
 {
-#include <libcometspindle/gateway/fleet/readers.h>
+#include <libcometspindle/gateway/fleet/reader_election.h>
 }
 #include <set>
 #include <talloc.h>
@@ -19,33 +19,33 @@
 
 struct ReadersTest : ::testing::Test
 {
-	comet_readers *readers = nullptr;
-	comet_readers_sight sight = {true, false, 60, 5, 100};
+	comet_reader_election *reader_election = nullptr;
+	comet_reader_election_state sight = {true, false, 60, 5, 100};
 	uint64_t now_us = 50000000;
 
 	void
 	SetUp() override
 	{
-		readers = comet_readers_create(nullptr, 1000 * ms, 7);
+		reader_election = comet_reader_election_create(nullptr, 1000 * ms, 7);
 	}
 
 	void
 	TearDown() override
 	{
-		talloc_free(readers);
+		talloc_free(reader_election);
 	}
 
 	void
 	tell(uint32_t vm, uint64_t position, uint64_t age_us = 0)
 	{
 		comet_reader_report report = {vm, position, position, age_us};
-		comet_readers_report(readers, &report, now_us);
+		comet_reader_election_report(reader_election, &report, now_us);
 	}
 
-	comet_directory_reading
+	comet_directory_mode
 	decide()
 	{
-		return comet_readers_decide(readers, &sight, now_us);
+		return comet_reader_election_decide(reader_election, &sight, now_us);
 	}
 };
 
@@ -53,26 +53,26 @@
 {
 	tell(1, 100);
 	sight.zone_vms = 7;
-	EXPECT_EQ(decide(), COMET_DIRECTORY_READS);
+	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_DIRECT);
 	sight.better = 0;
-	EXPECT_EQ(decide(), COMET_DIRECTORY_READS);
+	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_DIRECT);
 	sight.zone_vms = 8;
-	EXPECT_EQ(decide(), COMET_DIRECTORY_READS_FOR_OTHERS);
+	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_READER);
 }
 
 TEST_F(ReadersTest, OnlyTwoReadAndWhoStopsDoesNot)
 {
 	sight.better = 1;
-	EXPECT_EQ(decide(), COMET_DIRECTORY_READS_FOR_OTHERS);
+	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_READER);
 	sight.leaving = true;
-	EXPECT_EQ(decide(), COMET_DIRECTORY_READS_MEANWHILE) << "it hears no other reader";
+	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_FALLBACK) << "it hears no other reader";
 	sight.leaving = false;
 	sight.better = 2;
-	EXPECT_EQ(decide(), COMET_DIRECTORY_READS_MEANWHILE);
+	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_FALLBACK);
 	tell(1, 100);
-	EXPECT_EQ(decide(), COMET_DIRECTORY_FOLLOWS);
+	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_FOLLOWER);
 	sight.listed = false;
-	EXPECT_EQ(decide(), COMET_DIRECTORY_READS) << "the first list is its own";
+	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_DIRECT) << "the first list is its own";
 }
 
 /* Readers that are killed, frozen, or cut off say nothing; those that only the directory is cut off
@@ -83,18 +83,18 @@
 	for (int i = 0; i < 20; i++, now_us += 100 * ms)
 	{
 		tell(1, 100);
-		EXPECT_EQ(decide(), COMET_DIRECTORY_FOLLOWS);
+		EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_FOLLOWER);
 	}
 	uint64_t last_us = now_us - 100 * ms;
-	while (decide() == COMET_DIRECTORY_FOLLOWS && now_us < last_us + 5000 * ms)
+	while (decide() == COMET_DIRECTORY_MODE_FOLLOWER && now_us < last_us + 5000 * ms)
 		now_us += 10 * ms;
 	EXPECT_GE(now_us - last_us, 1000 * ms);
 	EXPECT_LE(now_us - last_us, 1300 * ms);
 	tell(1, 100, 1500 * ms);
-	EXPECT_EQ(decide(), COMET_DIRECTORY_READS_MEANWHILE)
+	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_FALLBACK)
 		<< "the directory has not answered it of late";
 	tell(2, 100, 200 * ms);
-	EXPECT_EQ(decide(), COMET_DIRECTORY_FOLLOWS);
+	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_FOLLOWER);
 }
 
 TEST(Readers, HundredsThatLoseTheirReadersAreDrawnApart)
@@ -102,15 +102,17 @@
 	std::set<uint64_t> times;
 	for (uint64_t vm = 1; vm <= 100; vm++)
 	{
-		comet_readers *readers = comet_readers_create(nullptr, 1000 * ms, vm);
+		comet_reader_election *reader_election =
+			comet_reader_election_create(nullptr, 1000 * ms, vm);
 		comet_reader_report report = {1, 100, 100, 0};
-		comet_readers_sight sight = {true, false, 60, 5, 100};
+		comet_reader_election_state sight = {true, false, 60, 5, 100};
 		uint64_t now_us = 50000000;
-		comet_readers_report(readers, &report, now_us);
-		while (comet_readers_decide(readers, &sight, now_us) == COMET_DIRECTORY_FOLLOWS)
+		comet_reader_election_report(reader_election, &report, now_us);
+		while (comet_reader_election_decide(reader_election, &sight, now_us) ==
+			COMET_DIRECTORY_MODE_FOLLOWER)
 			now_us += 10 * ms;
 		times.insert(now_us);
-		talloc_free(readers);
+		talloc_free(reader_election);
 	}
 	EXPECT_GE(times.size(), 20U);
 }
@@ -119,23 +121,23 @@
 TEST_F(ReadersTest, WhoIsLeftBehindReadsForItself)
 {
 	tell(1, 200);
-	EXPECT_EQ(decide(), COMET_DIRECTORY_FOLLOWS);
-	EXPECT_EQ(comet_readers_ahead(readers, 100, now_us), 1U);
+	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_FOLLOWER);
+	EXPECT_EQ(comet_reader_election_ahead(reader_election, 100, now_us), 1U);
 	for (int i = 0; i < 6; i++, now_us += 100 * ms)
 	{
 		tell(1, 200);
-		EXPECT_EQ(decide(), COMET_DIRECTORY_FOLLOWS);
+		EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_FOLLOWER);
 	}
 	tell(1, 200);
-	EXPECT_EQ(decide(), COMET_DIRECTORY_READS_MEANWHILE);
+	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_FALLBACK);
 	sight.position = 200;
-	EXPECT_EQ(decide(), COMET_DIRECTORY_FOLLOWS);
-	EXPECT_EQ(comet_readers_ahead(readers, 200, now_us), 0U);
-	comet_readers_failed(readers, now_us);
-	EXPECT_EQ(decide(), COMET_DIRECTORY_READS_MEANWHILE);
+	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_FOLLOWER);
+	EXPECT_EQ(comet_reader_election_ahead(reader_election, 200, now_us), 0U);
+	comet_reader_election_failed(reader_election, now_us);
+	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_FALLBACK);
 	now_us += 1000 * ms;
 	tell(1, 200);
-	EXPECT_EQ(decide(), COMET_DIRECTORY_FOLLOWS);
+	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_FOLLOWER);
 }
 
 TEST_F(ReadersTest, TheOneThatHasReadMostIsAskedAndOldOnesAreForgotten)
@@ -145,11 +147,11 @@
 		tell(vm, 100 + vm);
 		now_us += 10 * ms;
 	}
-	EXPECT_EQ(comet_readers_ahead(readers, 100, now_us), 20U);
+	EXPECT_EQ(comet_reader_election_ahead(reader_election, 100, now_us), 20U);
 	tell(3, 300);
-	EXPECT_EQ(comet_readers_ahead(readers, 100, now_us), 3U);
+	EXPECT_EQ(comet_reader_election_ahead(reader_election, 100, now_us), 3U);
 	now_us += 1000 * ms;
-	EXPECT_EQ(comet_readers_ahead(readers, 100, now_us), 0U);
+	EXPECT_EQ(comet_reader_election_ahead(reader_election, 100, now_us), 0U);
 }
 
 /* Followers asked any reader for a document, half of them the one that had not read it, and then
@@ -160,33 +162,33 @@
 	tell(2, 100);
 	std::set<uint32_t> picked;
 	for (int i = 0; i < 50; i++)
-		picked.insert(comet_readers_pick(readers, 150, now_us));
+		picked.insert(comet_reader_election_pick(reader_election, 150, now_us));
 	EXPECT_EQ(picked, std::set<uint32_t>{1U});
 	picked.clear();
 	for (int i = 0; i < 50; i++)
-		picked.insert(comet_readers_pick(readers, 100, now_us));
+		picked.insert(comet_reader_election_pick(reader_election, 100, now_us));
 	EXPECT_EQ(picked, (std::set<uint32_t>{1U, 2U}));
-	EXPECT_EQ(comet_readers_pick(readers, 201, now_us), 0U);
+	EXPECT_EQ(comet_reader_election_pick(reader_election, 201, now_us), 0U);
 	now_us += 1000 * ms;
-	EXPECT_EQ(comet_readers_pick(readers, 100, now_us), 0U);
+	EXPECT_EQ(comet_reader_election_pick(reader_election, 100, now_us), 0U);
 }
 
 /* A reader told of endpoints while an older document was on its way to it. */
 TEST_F(ReadersTest, AReaderIsAheadByADocumentAlone)
 {
 	comet_reader_report report = {1, 200, 150, 0};
-	comet_readers_report(readers, &report, now_us);
-	EXPECT_EQ(comet_readers_ahead(readers, 200, now_us), 0U);
-	EXPECT_EQ(comet_readers_ahead_complete(readers, 150, now_us), 0U);
+	comet_reader_election_report(reader_election, &report, now_us);
+	EXPECT_EQ(comet_reader_election_ahead(reader_election, 200, now_us), 0U);
+	EXPECT_EQ(comet_reader_election_ahead_complete(reader_election, 150, now_us), 0U);
 	report.complete = 200;
-	comet_readers_report(readers, &report, now_us);
-	EXPECT_EQ(comet_readers_ahead(readers, 200, now_us), 0U);
-	EXPECT_EQ(comet_readers_ahead_complete(readers, 150, now_us), 1U);
+	comet_reader_election_report(reader_election, &report, now_us);
+	EXPECT_EQ(comet_reader_election_ahead(reader_election, 200, now_us), 0U);
+	EXPECT_EQ(comet_reader_election_ahead_complete(reader_election, 150, now_us), 1U);
 	sight.position = 200;
 	for (int i = 0; i < 20; i++, now_us += 100 * ms)
 	{
-		comet_readers_report(readers, &report, now_us);
-		EXPECT_EQ(decide(), COMET_DIRECTORY_FOLLOWS) << "a document may take long";
+		comet_reader_election_report(reader_election, &report, now_us);
+		EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_FOLLOWER) << "a document may take long";
 	}
 }
 
--- a/tests/unit/test_slow_start.cc
+++ b/tests/unit/test_slow_start.cc
@@ -18,7 +18,7 @@
 using grants_fleet::fleet;
 
 constexpr uint64_t second_us = 1000000;
-constexpr comet_slow_start_bounds bounds = {3 * second_us, 15.35};
+constexpr comet_slow_start_config bounds = {3 * second_us, 15.35};
 
 /* The most sends to one endpoint within any second; since_us: those before do not count. */
 uint32_t
@@ -93,11 +93,11 @@
 {
 	short_requests day(6, 4);
 	day.pass(3 * second_us, 2);
-	uint64_t warm_us = day.all.now_us;
+	uint64_t warm_until_us = day.all.now_us;
 	day.pass(3 * second_us, 20);
-	EXPECT_GT(most_within_a_second(day.all, warm_us + second_us), 15U);
+	EXPECT_GT(most_within_a_second(day.all, warm_until_us + second_us), 15U);
 	short_requests unbounded(6, 4);
-	comet_slow_start_bounds none = {3 * second_us, 0};
+	comet_slow_start_config none = {3 * second_us, 0};
 	for (auto &one : unbounded.all.vms)
 		comet_instances_set_slow_start(one.second.instances, "llm", &none);
 	unbounded.pass(second_us, 20);
--- a/tests/unit/test_tally.cc
+++ b/tests/unit/test_tally.cc
@@ -6,7 +6,7 @@
 
 extern "C"
 {
-#include <libcometspindle/tally.h>
+#include <libcometspindle/counter_set.h>
 }
 #include <algorithm>
 #include <string>
@@ -14,19 +14,20 @@
 
 TEST(Tally, CountsByLabelsAndStaysBounded)
 {
-	comet_tally *tally = comet_tally_create(nullptr);
+	comet_counter_set *counter_set = comet_counter_set_create(nullptr);
 	GString *out = g_string_new(nullptr);
 
-	comet_tally_add(tally, "end=\"served\"");
-	comet_tally_add(tally, "end=\"served\"");
-	for (int i = 0; i < 2 * COMET_TALLY_LABELS_MAX; i++)
-		comet_tally_add(tally, ("end=\"" + std::to_string(i) + "\"").c_str());
-	comet_tally_print(tally, out, "comet_ends_total");
+	comet_counter_set_add(counter_set, "end=\"served\"");
+	comet_counter_set_add(counter_set, "end=\"served\"");
+	for (int i = 0; i < 2 * COMET_COUNTER_SET_LABELS_MAX; i++)
+		comet_counter_set_add(counter_set, ("end=\"" + std::to_string(i) + "\"").c_str());
+	comet_counter_set_print(counter_set, out, "comet_ends_total");
 	std::string text(out->str);
 	EXPECT_EQ(text.find("# TYPE comet_ends_total counter\n"), 0U);
 	EXPECT_NE(text.find("comet_ends_total{end=\"served\"} 2\n"), std::string::npos);
 	EXPECT_NE(text.find("comet_ends_total{other=\"true\"} 129\n"), std::string::npos);
-	EXPECT_EQ((int)std::count(text.begin(), text.end(), '\n'), COMET_TALLY_LABELS_MAX + 2);
+	EXPECT_EQ(
+		(int)std::count(text.begin(), text.end(), '\n'), COMET_COUNTER_SET_LABELS_MAX + 2);
 	g_string_free(out, TRUE);
-	talloc_free(tally);
+	talloc_free(counter_set);
 }
