--- a/libcometspindle/gateway/placement/dequeue_rate.h
+++ b/libcometspindle/gateway/placement/dequeue_rate.h
@@ -1,37 +1,40 @@
 /*
  * dequeue_rate.h
- * how fast requests of one rank leave a queue
+ * Measures how fast requests of one rank leave a queue.
  *
- * Slots that come free say little of it: more urgent requests and other VMs
- * take some of them.
+ * The rate is measured at dispatches and not derived from the slots that
+ * become free, because more urgent requests and other VMs take some of those
+ * slots.
  */
 #ifndef COMETSPINDLE_GATEWAY_DEQUEUE_RATE_H
 #define COMETSPINDLE_GATEWAY_DEQUEUE_RATE_H
 
 #include <stdint.h>
 
-/** Zeroed at first. */
+/** Must be zero-initialized. */
 struct comet_dequeue_rate
 {
-	uint32_t waiting;
-	uint64_t since_us;  /**< the last that had waited was dispatched, or the first began to wait
-			     */
-	double interval_us; /**< between two of them; 0: not known */
+	uint32_t n_waiting;
+	uint64_t measured_from_us; /**< Time of the last dispatch of a queued request, or of the
+				      first enqueue if none followed. */
+	double interval_us;        /**< Smoothed time between two dispatches; 0: unknown. */
 };
 
-/** One more waits. */
+/** Records that a request has been enqueued. */
 void
 comet_dequeue_rate_enqueued(struct comet_dequeue_rate *dequeue_rate, uint64_t now_us);
 
-/** One waits no more, for whatever reason. */
+/** Records that a request has left the queue, whether dispatched, refused or cancelled. */
 void
 comet_dequeue_rate_removed(struct comet_dequeue_rate *dequeue_rate);
 
-/** One that had waited is dispatched. */
+/** Records that a queued request has been dispatched. */
 void
 comet_dequeue_rate_dispatched(struct comet_dequeue_rate *dequeue_rate, uint64_t now_us);
 
-/** How long one more would wait by the pace of those before it; 0: nothing waits. */
+/**
+ * @return the time that one more request would wait at the measured rate; 0: the queue is empty.
+ */
 double
 comet_dequeue_rate_expected_wait_us(const struct comet_dequeue_rate *dequeue_rate, uint64_t now_us);
 
