--- a/libcometspindle/gateway/placement/endpoint_picker.h
+++ b/libcometspindle/gateway/placement/endpoint_picker.h
@@ -1,6 +1,10 @@
 /*
  * endpoint_picker.h
- * the cheapest endpoint with room for a request
+ * Picks the cheapest endpoint that has room for a request.
+ *
+ * An endpoint that would miss the soft deadline of the request is not picked
+ * while a full endpoint would still meet it; the decision is then marked as
+ * deferred.
  */
 #ifndef COMETSPINDLE_GATEWAY_ENDPOINT_PICKER_H
 #define COMETSPINDLE_GATEWAY_ENDPOINT_PICKER_H
@@ -11,42 +15,48 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** What a choice is made from. */
+/** State that one VM uses for all its picks. */
 struct comet_endpoint_picker
 {
-	struct comet_random draw; /**< spreads VMs that know the same */
-	uint32_t seed;            /**< of this VM */
+	struct comet_random rng; /**< Adds jitter to costs, so that VMs with equal gossip pick
+				    different endpoints. */
+	uint32_t seed;           /**< Per-VM seed of the admission to endpoints in slow start. */
 };
 
-/** Among which endpoints, and by which count. */
+/** The endpoints to pick from, and how their load is counted. */
 struct comet_endpoint_picker_scope
 {
-	const GPtrArray *among; /**< of struct comet_instance; NULL: none */
-	uint32_t beyond;        /**< streams: requests that may be there beyond its slots */
-	bool kept;              /**< this VM keeps count of them */
-	double cold_share;      /**< of what a cold one bears, decided here; 0: elsewhere */
-	const uint32_t *except; /**< keys of those that are not wanted */
-	uint32_t n_except;
+	const GPtrArray *instances; /**< Candidates, struct comet_instance; NULL: none. */
+	uint32_t beyond; /**< Streams only: requests allowed at an endpoint in excess of its slots.
+			  */
+	bool kept;       /**< Whether this VM is the owner, which has the exact load. */
+	double cold_share; /**< Share of the slow start capacity of an endpoint that this VM may
+			      use; 0: another VM decides on admission. */
+	const uint32_t *excluded; /**< Keys of instances that must not be picked. */
+	uint32_t n_excluded;
 };
 
-/** Requests that one of the item's rank may have waiting at an endpoint. */
+/** @return the number of requests of this rank that may queue at an endpoint. */
 uint32_t
 comet_endpoint_picker_queue_limit(const struct comet_placement_item *item);
 
-/** @return whether the item could be sent there, if there is room. */
+/** @return whether the item may be sent to the instance, provided that the instance has room. */
 bool
 comet_endpoint_picker_is_usable(const struct comet_placement_item *item,
 	const struct comet_instance *instance, uint64_t now_us);
 
-/** @return whether the instance is there and the item was not sent to it yet. */
+/** @return whether the instance accepts new requests and the item has not been sent to it yet. */
 bool
 comet_endpoint_picker_is_candidate(
 	const struct comet_placement_item *item, const struct comet_instance *instance);
 
-/** @return the cheapest instance with room, or NULL; reason tells why. */
+/**
+ * Picks the cheapest instance with room and stores the inputs of the pick in decision.
+ * @return the instance, or NULL if none was picked.
+ */
 struct comet_instance *
 comet_endpoint_picker_pick(struct comet_endpoint_picker *choice,
 	const struct comet_placement_item *item, const struct comet_endpoint_picker_scope *scope,
-	uint64_t now_us, struct comet_placement_decision *reason);
+	uint64_t now_us, struct comet_placement_decision *decision);
 
 #endif
--- a/libcometspindle/gateway/placement/placement.c
+++ b/libcometspindle/gateway/placement/placement.c
@@ -1,6 +1,7 @@
 /*
  * placement.c
- * which endpoint a request goes to, when, and what is refused early
+ * Decides which endpoint a request is sent to and when, and refuses requests
+ * that would expire in the queue.
  */
 #include <libcometspindle/gateway/placement/placement.h>
 
@@ -8,37 +9,38 @@
 #include <string.h>
 #include <talloc.h>
 
-/* Part of what a cold endpoint bears that the VM which keeps count of it decides on. Another may
- * just have kept count, or still do on the other side of a cut. */
-#define OWNER_SHARE 0.5
+/* Fraction of the slow start capacity of an endpoint that the owner of its shard uses. During a
+ * change of ownership or a network partition two VMs may act as owner. */
+#define COLD_OWNER_SHARE 0.5
 
-/* Part that all VMs decide on together without a keeper: some requests are placed by views at any
- * time. */
-#define LONE_SHARE 0.25
+/* Fraction that all VMs together use without a grant, because some requests are placed by gossip at
+ * any time. */
+#define COLD_OWNERLESS_SHARE 0.25
 
-/* Bounds of what a refused caller is told: long enough for a slot to come free, and no longer
- * than a burst lasts. */
+/* Bounds of the Retry-After time of a refused caller: long enough for a slot to become free, and no
+ * longer than a burst lasts. */
 #define RETRY_AFTER_MIN_MS 100
 #define RETRY_AFTER_MAX_MS 5000
 
-/* Part of that time by which callers are drawn apart. */
-#define RETRY_SPREAD 0.25
+/* Fraction by which Retry-After times vary at random. */
+#define RETRY_JITTER 0.25
 
-/* A keeper that had no room is asked again after about this time (half of it or half more, drawn):
- * while much waits in many VMs, one of them then asks every few milliseconds. */
-#define DENIED_US 100000
+/* Mean time before an owner that denied a slot is asked again, varied at random by half. While
+ * requests wait at many VMs, the owner then receives a slot request every few milliseconds. */
+#define DENIED_BACKOFF_US 100000
 
-/* When a caller whose service is evacuated everywhere should come back: an evacuation takes seconds
- * at least, and its end is not announced. */
+/* Retry-After time while all zones of a service are evacuated. An evacuation takes several seconds
+ * or longer, and its end is not announced. */
 #define EVACUATED_RETRY_MS 5000
 
-/* How often it is looked which of those that wait have become late: a small part of any aim. A
- * queue is gone through with each slot that comes free, some thousand times a second at a keeper.
- */
-#define AGE_US 10000
+/* Interval between checks for late and expired requests, short compared with any latency target. A
+ * queue is run for each slot that becomes free, which is some thousand times per second at an
+ * owner, so it is not checked on every run. */
+#define EXPIRY_CHECK_INTERVAL_US 10000
 
-/* Of the requests that wait, so many ask at a time: the rest is behind them at any keeper. */
-#define WAITING_ASKS_MAX 4
+/* A queued request sends a slot request only while fewer than this are pending. Any more would rank
+ * behind these at any owner. */
+#define QUEUED_SLOT_REQUESTS_MAX 4
 
 static int
 placement_destroy(struct comet_placement *placement)
@@ -55,7 +57,7 @@
 
 	placement->instances = instances;
 	placement->shards = comet_shards_create(placement, instances);
-	comet_random_init(&placement->choice.draw, seed);
+	comet_random_init(&placement->choice.rng, seed);
 	placement->choice.seed = (uint32_t)seed;
 	comet_placement_set_vms(placement, 1, 1);
 	placement->ops = ops;
@@ -65,22 +67,22 @@
 	return placement;
 }
 
-/* A VM that hears few of the others keeps count on the smaller side of a cut: the sides' shares add
- * up to one at most. */
+/* A VM that receives gossip from few others may be the owner on the smaller side of a network
+ * partition. With this bound the shares of both sides add up to one at most. */
 void
 comet_placement_set_vms(struct comet_placement *placement, uint32_t heard, uint32_t known)
 {
-	placement->owner_share = MIN(OWNER_SHARE, (double)heard / known);
-	placement->ownerless_share = LONE_SHARE / known;
+	placement->owner_share = MIN(COLD_OWNER_SHARE, (double)heard / known);
+	placement->ownerless_share = COLD_OWNERLESS_SHARE / known;
 }
 
-/* Drawn, so that callers who were refused together do not come back together. */
+/* Varies the time at random, so that callers that were refused together do not retry together. */
 static uint32_t
 with_jitter(struct comet_placement *placement, double wait_ms)
 {
-	double spread = 1 + RETRY_SPREAD * (2 * comet_random_double(&placement->choice.draw) - 1);
+	double jitter = 1 + RETRY_JITTER * (2 * comet_random_double(&placement->choice.rng) - 1);
 
-	return (uint32_t)(wait_ms * spread);
+	return (uint32_t)(wait_ms * jitter);
 }
 
 static uint32_t
@@ -112,17 +114,17 @@
 	return false;
 }
 
-/* Sends it there; keeper: the VM that granted the slot, or 0. */
+/* Dispatches the item. keeper: the VM that granted the slot, or 0. */
 static void
-dispatch_granted(struct comet_placement *placement, struct comet_placement_item *item,
+dispatch_to_slot(struct comet_placement *placement, struct comet_placement_item *item,
 	struct comet_instance *instance, uint32_t keeper, uint64_t now_us)
 {
-	if (item->queued)
+	if (item->was_queued)
 		comet_dequeue_rate_dispatched(
 			comet_placement_dequeue_rate(
 				comet_placement_queue_of(placement, item->service), item),
 			now_us);
-	item->queued = false;
+	item->was_queued = false;
 	comet_instance_selected(instance, now_us);
 	item->keeper = keeper;
 	if (item->n_tried < COMET_PLACEMENT_TRIED_MAX)
@@ -134,36 +136,38 @@
 dispatch(struct comet_placement *placement, struct comet_placement_item *item,
 	struct comet_instance *instance, uint64_t now_us)
 {
-	dispatch_granted(placement, item, instance, 0, now_us);
+	dispatch_to_slot(placement, item, instance, 0, now_us);
 }
 
 static void
-stop_asking(struct comet_placement *placement, struct comet_placement_item *item)
+end_slot_request(struct comet_placement *placement, struct comet_placement_item *item)
 {
 	item->asking = false;
-	placement->asking--;
+	placement->n_slot_requests--;
 }
 
-/* Its keeper's answer is not awaited any more. */
+/* Cancels the pending slot request of the item, if any. */
 static void
-forget_ask(struct comet_placement *placement, struct comet_placement_item *item)
+cancel_slot_request(struct comet_placement *placement, struct comet_placement_item *item)
 {
 	if (!item->asking)
 		return;
-	stop_asking(placement, item);
+	end_slot_request(placement, item);
 	placement->ops->forget(placement->ctx, item);
 }
 
-/* Puts those that cannot be in time any more behind those of their rank that can. */
+/* Moves requests that can no longer meet their soft deadline behind those of their rank that
+ * can. */
 static void
-demote_late(struct comet_placement *placement, struct comet_placement_queue *queue, uint64_t now_us)
+demote_late_items(
+	struct comet_placement *placement, struct comet_placement_queue *queue, uint64_t now_us)
 {
-	GSequenceIter *at = g_sequence_get_begin_iter(queue->items);
+	GSequenceIter *iter = g_sequence_get_begin_iter(queue->items);
 
-	while (!g_sequence_iter_is_end(at))
+	while (!g_sequence_iter_is_end(iter))
 	{
-		struct comet_placement_item *item = g_sequence_get(at);
-		at = g_sequence_iter_next(at);
+		struct comet_placement_item *item = g_sequence_get(iter);
+		iter = g_sequence_iter_next(iter);
 		if (item->late || !comet_placement_is_late(placement, item, 0, now_us))
 			continue;
 		comet_placement_dequeue(placement, item);
@@ -174,12 +178,12 @@
 			comet_placement_enqueue(queue, item, now_us);
 			continue;
 		}
-		forget_ask(placement, item);
+		cancel_slot_request(placement, item);
 		placement->ops->refuse(placement->ctx, item, retry_after_ms(placement, wait_us));
 	}
 }
 
-/* Refuses all that waits for a service whose zones are all evacuated. */
+/* Refuses all queued requests of a service whose zones are all evacuated. */
 static void
 refuse_evacuated(struct comet_placement *placement, struct comet_placement_queue *queue)
 {
@@ -190,85 +194,85 @@
 		struct comet_placement_item *item =
 			g_sequence_get(g_sequence_get_begin_iter(queue->items));
 		comet_placement_dequeue(placement, item);
-		forget_ask(placement, item);
+		cancel_slot_request(placement, item);
 		placement->ops->refuse(
 			placement->ctx, item, with_jitter(placement, EVACUATED_RETRY_MS));
 	}
 }
 
-/* Refuses what cannot be dispatched in time any more. */
+/* Refuses requests whose dispatch deadline has passed. */
 static void
-refuse_late(struct comet_placement *placement, struct comet_placement_queue *queue, uint64_t now_us)
+refuse_expired(
+	struct comet_placement *placement, struct comet_placement_queue *queue, uint64_t now_us)
 {
-	GSequenceIter *at = g_sequence_get_begin_iter(queue->items);
+	GSequenceIter *iter = g_sequence_get_begin_iter(queue->items);
 
-	while (!g_sequence_iter_is_end(at))
+	while (!g_sequence_iter_is_end(iter))
 	{
-		struct comet_placement_item *item = g_sequence_get(at);
-		at = g_sequence_iter_next(at);
+		struct comet_placement_item *item = g_sequence_get(iter);
+		iter = g_sequence_iter_next(iter);
 		if (item->dispatch_deadline_us > now_us)
 			continue;
 		comet_placement_dequeue(placement, item);
-		forget_ask(placement, item);
+		cancel_slot_request(placement, item);
 		uint64_t wait_us = comet_placement_wait_us(placement, item, now_us);
 		placement->ops->refuse(placement->ctx, item, retry_after_ms(placement, wait_us));
 	}
 }
 
-/* Dispatches a request that waits, if anything has room for it, or asks a keeper.
- * @return false when nobody behind it can have more room */
+/* Dispatches a queued request if an endpoint has room for it, or sends a slot request to an owner.
+ * @return false if no request behind it can have room */
 static bool
-serve(struct comet_placement *placement, struct comet_placement_item *item, uint64_t now_us)
+serve_item(struct comet_placement *placement, struct comet_placement_item *item, uint64_t now_us)
 {
-	bool may_ask = !item->asking && placement->asking < WAITING_ASKS_MAX;
+	bool may_request_slot =
+		!item->asking && placement->n_slot_requests < QUEUED_SLOT_REQUESTS_MAX;
 	struct comet_instance *instance =
-		may_ask ? comet_placement_find(placement, item, now_us)
-			: comet_placement_find_local(placement, item, now_us);
+		may_request_slot ? comet_placement_find(placement, item, now_us)
+				 : comet_placement_find_local(placement, item, now_us);
 
 	if (instance == NULL)
-		return item->asking || item->held || item->n_tried > 0;
-	forget_ask(placement, item);
+		return item->asking || item->deferred || item->n_tried > 0;
+	cancel_slot_request(placement, item);
 	comet_placement_dequeue(placement, item);
 	dispatch(placement, item, instance, now_us);
 	return true;
 }
 
-/* Serves in order of rank, this VM's own and those of others that wait here, until nothing has
- * room.
- */
+/* Serves requests of this VM and remote waiters in one order of rank until no endpoint has room. */
 static void
 run_queue(struct comet_placement *placement, struct comet_placement_queue *queue, uint64_t now_us)
 {
-	if (now_us - queue->aged_us >= AGE_US)
+	if (now_us - queue->expiry_checked_us >= EXPIRY_CHECK_INTERVAL_US)
 	{
-		queue->aged_us = now_us;
+		queue->expiry_checked_us = now_us;
 		refuse_evacuated(placement, queue);
-		refuse_late(placement, queue, now_us);
-		demote_late(placement, queue, now_us);
+		refuse_expired(placement, queue, now_us);
+		demote_late_items(placement, queue, now_us);
 		comet_placement_expire_remote_waiters(placement, queue, now_us);
 	}
 	placement->pass++;
-	GSequenceIter *own = g_sequence_get_begin_iter(queue->items);
-	GSequenceIter *remote_waiter = g_sequence_get_begin_iter(queue->remote_waiters);
-	bool own_done = g_sequence_iter_is_end(own);
-	bool guests_done = g_sequence_iter_is_end(remote_waiter);
-	while (!own_done || !guests_done)
+	GSequenceIter *local = g_sequence_get_begin_iter(queue->items);
+	GSequenceIter *remote = g_sequence_get_begin_iter(queue->remote_waiters);
+	bool local_done = g_sequence_iter_is_end(local);
+	bool remote_done = g_sequence_iter_is_end(remote);
+	while (!local_done || !remote_done)
 	{
-		bool own_next = guests_done ||
-				(!own_done && comet_placement_compare(g_sequence_get(own),
-						      g_sequence_get(remote_waiter), NULL) < 0);
-		gpointer next = g_sequence_get(own_next ? own : remote_waiter);
-		if (own_next)
+		bool local_next = remote_done ||
+				  (!local_done && comet_placement_compare(g_sequence_get(local),
+							  g_sequence_get(remote), NULL) < 0);
+		gpointer next = g_sequence_get(local_next ? local : remote);
+		if (local_next)
 		{
-			own = g_sequence_iter_next(own);
-			bool go_on = serve(placement, next, now_us);
-			own_done = !go_on || g_sequence_iter_is_end(own);
+			local = g_sequence_iter_next(local);
+			bool more = serve_item(placement, next, now_us);
+			local_done = !more || g_sequence_iter_is_end(local);
 		}
 		else
 		{
-			remote_waiter = g_sequence_iter_next(remote_waiter);
+			remote = g_sequence_iter_next(remote);
 			comet_placement_grant_remote_waiter(placement, next, now_us);
-			guests_done = g_sequence_iter_is_end(remote_waiter);
+			remote_done = g_sequence_iter_is_end(remote);
 		}
 	}
 }
@@ -278,30 +282,30 @@
 {
 	if (placement->running)
 	{
-		placement->again = true;
+		placement->run_again = true;
 		return;
 	}
 	placement->running = true;
 	do
 	{
-		placement->again = false;
-		/* A list of its own: an answer may bring a request for a service not seen yet. */
+		placement->run_again = false;
+		/* Copied, because a refusal may lead to a request for a service without a queue. */
 		GList *queues = g_hash_table_get_values(placement->queues);
-		for (GList *at = queues; at != NULL; at = at->next)
+		for (GList *iter = queues; iter != NULL; iter = iter->next)
 		{
-			struct comet_placement_queue *queue = at->data;
+			struct comet_placement_queue *queue = iter->data;
 			if (comet_placement_has_waiting(queue))
 				run_queue(placement, queue, now_us);
 		}
 		g_list_free(queues);
-	} while (placement->again);
+	} while (placement->run_again);
 	placement->running = false;
 }
 
-/* Nothing has room: the item waits in order of rank, or is refused if that is hopeless.
- * @return whether it waits; if not, it may be gone */
+/* Enqueues an item that found no room, or refuses it if it would expire in the queue. @return
+ * whether it was enqueued; if not, the item may have been freed */
 static bool
-wait_or_refuse(
+enqueue_or_refuse(
 	struct comet_placement *placement, struct comet_placement_item *item, uint64_t now_us)
 {
 	struct comet_placement_queue *queue = comet_placement_queue_of(placement, item->service);
@@ -320,30 +324,31 @@
 		wait_us = MAX(wait_us, comet_placement_wait_us(placement, item, now_us));
 		item->late = false;
 	}
-	bool hopeless = now_us + wait_us > item->dispatch_deadline_us;
+	bool must_refuse = now_us + wait_us > item->dispatch_deadline_us;
 
 	if (!comet_placement_has_untried(placement, item))
 	{
-		/* Nobody serves it just now: worth a short wait, if nobody refused it yet. */
+		/* No endpoint accepts the item at present. A short wait is worthwhile unless an
+		 * endpoint has already been tried. */
 		item->dispatch_deadline_us = MIN(item->dispatch_deadline_us, item->early_us);
-		hopeless = item->n_tried > 0 || item->dispatch_deadline_us <= now_us;
+		must_refuse = item->n_tried > 0 || item->dispatch_deadline_us <= now_us;
 	}
-	if (hopeless)
+	if (must_refuse)
 		placement->ops->refuse(placement->ctx, item, retry_after_ms(placement, wait_us));
 	else
 		comet_placement_enqueue(queue, item, now_us);
-	return !hopeless;
+	return !must_refuse;
 }
 
-/* Finds a slot for an item that does not wait, or makes it wait. */
+/* Dispatches an item that is not queued, sends a slot request for it or enqueues it. */
 static void
-place(struct comet_placement *placement, struct comet_placement_item *item, uint64_t now_us)
+place_item(struct comet_placement *placement, struct comet_placement_item *item, uint64_t now_us)
 {
 	struct comet_instance *instance = comet_placement_find(placement, item, now_us);
 
 	if (instance != NULL)
 		dispatch(placement, item, instance, now_us);
-	else if (!item->asking && wait_or_refuse(placement, item, now_us))
+	else if (!item->asking && enqueue_or_refuse(placement, item, now_us))
 		comet_placement_run(placement, now_us);
 }
 
@@ -353,16 +358,16 @@
 {
 	struct comet_placement_queue *queue = comet_placement_queue_of(placement, item->service);
 
-	item->since_us = now_us;
-	item->order = placement->next_order++;
-	item->place = NULL;
+	item->submitted_us = now_us;
+	item->sequence = placement->next_sequence++;
+	item->queue_position = NULL;
 	item->asking = false;
-	item->queued = false;
+	item->was_queued = false;
 	item->late = false;
-	item->held = false;
+	item->deferred = false;
 	if (!comet_placement_has_waiting(queue))
-		place(placement, item, now_us);
-	else if (wait_or_refuse(placement, item, now_us))
+		place_item(placement, item, now_us);
+	else if (enqueue_or_refuse(placement, item, now_us))
 		comet_placement_run(placement, now_us);
 }
 
@@ -374,39 +379,41 @@
 		comet_instances_find_key(placement->instances, instance_key);
 
 	if (!item->asking)
-		return false; /* it is placed already: one slot is enough */
-	stop_asking(placement, item);
-	if (item->place != NULL)
+		return false; /* already dispatched; a second slot is not needed */
+	end_slot_request(placement, item);
+	if (item->queue_position != NULL)
 		comet_placement_dequeue(placement, item);
 	if (instance == NULL || strcmp(instance->service, item->service) != 0 ||
 		!comet_endpoint_picker_is_usable(item, instance, now_us))
 	{
-		/* Our lists differ, or more endpoints are doubtful than an ask can name, or the
-		 * answer is not a keeper's: no request leaves its service. */
+		/* The endpoint lists of the VMs differ, more endpoints are ejected than a slot
+		 * request can exclude, or the reply is not from an owner. The service is compared
+		 * because a request must never be sent to another service. */
 		instance = comet_placement_choose_by_gossip(placement, item, now_us);
 		if (instance != NULL)
 			dispatch(placement, item, instance, now_us);
-		else if (wait_or_refuse(placement, item, now_us))
+		else if (enqueue_or_refuse(placement, item, now_us))
 			comet_placement_run(placement, now_us);
 		return false;
 	}
-	memset(&placement->reason, 0, sizeof placement->reason);
-	placement->reason.load = comet_instance_load(instance, now_us);
-	placement->reason.slots = instance->slots;
-	placement->reason.waited_us = now_us - item->since_us;
-	comet_instance_estimate(instance, &item->job, now_us, &placement->reason.first_us,
-		&placement->reason.total_us);
-	dispatch_granted(placement, item, instance, keeper, now_us);
+	memset(&placement->decision, 0, sizeof placement->decision);
+	placement->decision.load = comet_instance_load(instance, now_us);
+	placement->decision.slots = instance->slots;
+	placement->decision.waited_us = now_us - item->submitted_us;
+	comet_instance_estimate(instance, &item->job, now_us, &placement->decision.first_us,
+		&placement->decision.total_us);
+	dispatch_to_slot(placement, item, instance, keeper, now_us);
 	return true;
 }
 
-/* An ask has ended without a slot: goes on looking, unless it waits in its queue anyway. */
+/* Handles a slot request that ended without a slot: places the item again unless it is queued. */
 static void
-look_again(struct comet_placement *placement, struct comet_placement_item *item, uint64_t now_us)
+retry_placement(
+	struct comet_placement *placement, struct comet_placement_item *item, uint64_t now_us)
 {
-	stop_asking(placement, item);
-	if (item->place == NULL)
-		place(placement, item, now_us);
+	end_slot_request(placement, item);
+	if (item->queue_position == NULL)
+		place_item(placement, item, now_us);
 }
 
 void
@@ -414,32 +421,32 @@
 	uint32_t shard_id, uint32_t beyond, uint64_t now_us)
 {
 	struct comet_shard *shard = comet_shards_find(placement->shards, shard_id);
-	double part = 0.5 + comet_random_double(&placement->choice.draw);
+	double jitter = 0.5 + comet_random_double(&placement->choice.rng);
 
 	if (shard != NULL)
-		comet_shard_denied(shard, beyond, now_us + (uint64_t)(DENIED_US * part));
-	look_again(placement, item, now_us);
+		comet_shard_denied(shard, beyond, now_us + (uint64_t)(DENIED_BACKOFF_US * jitter));
+	retry_placement(placement, item, now_us);
 }
 
 void
 comet_placement_unanswered(
 	struct comet_placement *placement, struct comet_placement_item *item, uint64_t now_us)
 {
-	look_again(placement, item, now_us);
+	retry_placement(placement, item, now_us);
 }
 
-/* A VM of hundreds has one or two requests waiting, which tell it nothing of the pace at which
- * their rank is served; the keeper sees it. Without its word requests are held to the end of their
- * callers' patience, and refused then. */
+/* One VM of hundreds has only one or two requests queued, too few to measure the dequeue rate of
+ * their rank, which the owner knows. Without the estimate of the owner a request would be held
+ * until its dispatch deadline and then refused. */
 void
 comet_placement_set_expected_wait(struct comet_placement *placement,
 	struct comet_placement_item *item, uint64_t expected_us, uint64_t now_us)
 {
-	if (!item->asking || item->place == NULL ||
+	if (!item->asking || item->queue_position == NULL ||
 		now_us + expected_us <= item->dispatch_deadline_us)
 		return;
 	comet_placement_dequeue(placement, item);
-	forget_ask(placement, item);
+	cancel_slot_request(placement, item);
 	placement->ops->refuse(placement->ctx, item, retry_after_ms(placement, expected_us));
 }
 
@@ -447,7 +454,7 @@
 comet_placement_wait_expired(
 	struct comet_placement *placement, struct comet_placement_item *item, uint64_t now_us)
 {
-	look_again(placement, item, now_us);
+	retry_placement(placement, item, now_us);
 }
 
 void
@@ -463,26 +470,27 @@
 void
 comet_placement_cancel(struct comet_placement *placement, struct comet_placement_item *item)
 {
-	if (item->place != NULL)
+	if (item->queue_position != NULL)
 		comet_placement_dequeue(placement, item);
-	forget_ask(placement, item);
+	cancel_slot_request(placement, item);
 }
 
 struct comet_instance *
 comet_placement_choose_remote(struct comet_placement *placement,
-	const struct comet_slot_request *ask, uint64_t now_us,
+	const struct comet_slot_request *request, uint64_t now_us,
 	struct comet_placement_wait_estimate *wait)
 {
-	struct comet_instance *best =
-		comet_placement_admit_remote_waiter(placement, ask, now_us, wait);
+	struct comet_instance *granted =
+		comet_placement_admit_remote_waiter(placement, request, now_us, wait);
 
+	/* A slot that no other waiter can use may suit this one. */
 	if (wait->waits)
-		comet_placement_run(placement, now_us); /* what others cannot use may do for it */
-	return best;
+		comet_placement_run(placement, now_us);
+	return granted;
 }
 
 const struct comet_placement_decision *
 comet_placement_decision(const struct comet_placement *placement)
 {
-	return &placement->reason;
+	return &placement->decision;
 }
--- a/libcometspindle/gateway/placement/placement.h
+++ b/libcometspindle/gateway/placement/placement.h
@@ -1,10 +1,11 @@
 /*
  * placement.h
- * which endpoint a request goes to, when, and what is refused early
+ * Decides which endpoint a request is sent to and when, and refuses requests
+ * that would expire in the queue.
  *
- * Requests that find no room wait in order of rank; each is offered as soon as
- * an endpoint has room for its rank, or refused once it could not be answered
- * in a time in which its caller still waits.
+ * Requests that find no room wait in order of rank. Each is dispatched as soon
+ * as an endpoint has room for its rank. A request is refused early if it could
+ * not be answered while its caller still waits.
  */
 #ifndef COMETSPINDLE_GATEWAY_PLACEMENT_H
 #define COMETSPINDLE_GATEWAY_PLACEMENT_H
@@ -18,74 +19,81 @@
 
 struct comet_placement;
 
-/** seed: for draws that must differ between VMs. */
+/** Creates a placement. seed: differs between VMs, so that their random choices differ. */
 struct comet_placement *
 comet_placement_create(void *parent, struct comet_instances *instances,
 	const struct comet_placement_ops *ops, void *ctx, uint64_t seed);
 
-/** So many VMs are known to be there, and heard; with this one. Cold endpoints are shared by them.
+/**
+ * Sets the number of VMs from which gossip is received, and of all known VMs; both include this
+ * one. The VMs share the capacity of endpoints in slow start.
  */
 void
 comet_placement_set_vms(struct comet_placement *placement, uint32_t heard, uint32_t known);
 
-/** A request is to be placed; answered by dispatch or refuse, perhaps before this returns. */
+/** Submits a request. It is dispatched or refused later, or before this call returns. */
 void
 comet_placement_submit(
 	struct comet_placement *placement, struct comet_placement_item *item, uint64_t now_us);
 
-/** It is not to be placed any more; nothing happens if it does not wait. */
+/**
+ * Cancels a request; does nothing if the request is neither queued nor has a slot request pending.
+ */
 void
 comet_placement_cancel(struct comet_placement *placement, struct comet_placement_item *item);
 
-/** Room may have come up, or time has passed. */
+/** Serves the queues. Called when a slot may have become free and at regular intervals. */
 void
 comet_placement_run(struct comet_placement *placement, uint64_t now_us);
 
-/** A keeper granted a slot. @return false when it cannot be used and is to be given back. */
+/**
+ * Handles a slot granted by an owner.
+ * @return false if the slot cannot be used and has to be released
+ */
 bool
 comet_placement_granted(struct comet_placement *placement, struct comet_placement_item *item,
 	uint32_t keeper, uint32_t instance_key, uint64_t now_us) G_GNUC_WARN_UNUSED_RESULT;
 
-/** Nothing in the shard has room at that level. */
+/** Handles the denial of a slot request: no endpoint of the shard has room at that level. */
 void
 comet_placement_denied(struct comet_placement *placement, struct comet_placement_item *item,
 	uint32_t shard, uint32_t beyond, uint64_t now_us);
 
-/** It waits at the keeper, and would do so for about that time. */
+/** Handles the reply that the request waits at the owner, with the expected wait. */
 void
 comet_placement_set_expected_wait(struct comet_placement *placement,
 	struct comet_placement_item *item, uint64_t expected_us, uint64_t now_us);
 
-/** It has waited at the keeper for as long as it was to, and no slot came free for it. */
+/** Handles the expiry of a slot request that has waited at the owner without a grant. */
 void
 comet_placement_wait_expired(
 	struct comet_placement *placement, struct comet_placement_item *item, uint64_t now_us);
 
-/** The keeper did not answer. */
+/** Handles a slot request that the owner left unanswered. */
 void
 comet_placement_unanswered(
 	struct comet_placement *placement, struct comet_placement_item *item, uint64_t now_us);
 
-/** A request of ours has left a slot. */
+/** Records that a request of this VM has left a slot of the instance. */
 void
 comet_placement_slot_released(
 	struct comet_placement *placement, const struct comet_instance *instance);
 
 /**
- * Chooses, as keeper, for a request of another VM.
- * @return NULL when nothing has room
+ * Picks an instance, as the owner, for a request of another VM.
+ * @return the instance, or NULL if none has room; wait tells whether the request now waits here
  */
 struct comet_instance *
 comet_placement_choose_remote(struct comet_placement *placement,
-	const struct comet_slot_request *ask, uint64_t now_us,
+	const struct comet_slot_request *request, uint64_t now_us,
 	struct comet_placement_wait_estimate *wait);
 
-/** @return whether there is an instance that the item was not sent to yet. */
+/** @return whether the service has an instance that the item has not been sent to. */
 bool
 comet_placement_has_untried(
 	const struct comet_placement *placement, const struct comet_placement_item *item);
 
-/** @return whether the endpoints of the item's service are all in evacuated zones. */
+/** @return whether all endpoints of the item's service are in evacuated availability zones. */
 bool
 comet_placement_is_evacuated(
 	const struct comet_placement *placement, const struct comet_placement_item *item);
--- a/libcometspindle/gateway/placement/placement_find.c
+++ b/libcometspindle/gateway/placement/placement_find.c
@@ -1,6 +1,7 @@
 /*
  * placement_find.c
- * where a request could go now: shards that this VM chooses in by itself, and keepers to ask
+ * Finds a slot for a request: in shards where this VM may pick an endpoint
+ * itself, or by a slot request to the owner of a shard.
  */
 #include <libcometspindle/gateway/placement/placement_state.h>
 
@@ -9,30 +10,31 @@
 	struct comet_placement *placement, const struct comet_placement_item *item, uint64_t now_us)
 {
 	struct comet_endpoint_picker_scope scope = {
-		.among = comet_instances_for_service(placement->instances, item->service),
+		.instances = comet_instances_for_service(placement->instances, item->service),
 		.beyond = comet_endpoint_picker_queue_limit(item),
 		.cold_share = placement->ownerless_share,
 	};
 
 	return comet_endpoint_picker_pick(
-		&placement->choice, item, &scope, now_us, &placement->reason);
+		&placement->choice, item, &scope, now_us, &placement->decision);
 }
 
-/* A request waits at one keeper for this time, then at another: long enough for several slots to
- * come free in a shard, and short beside any aim where the first keeper was a bad choice. */
-#define WAIT_US 300000
+/* Time that a request waits at one owner before it moves on to another. Several slots become free
+ * in a shard within this time, and it is short compared with any latency target if the first owner
+ * has no slot. */
+#define OWNER_WAIT_US 300000
 
-/* Asks the keeper of a shard, if anything in it could be used. wait_us: it may wait there so long.
- */
+/* Sends a slot request to the owner of a shard if any endpoint in it is usable. wait_us: time that
+ * the request may wait there. */
 static void
-ask_keeper(struct comet_placement *placement, struct comet_placement_item *item,
+request_slot(struct comet_placement *placement, struct comet_placement_item *item,
 	struct comet_shard *shard, uint32_t beyond, uint64_t wait_us, uint64_t now_us)
 {
-	uint32_t except[COMET_SLOT_REQUEST_EXCEPT_MAX];
-	struct comet_slot_request ask = {
+	uint32_t excluded[COMET_SLOT_REQUEST_EXCEPT_MAX];
+	struct comet_slot_request request = {
 		.shard = shard->id,
 		.beyond = beyond,
-		.except = except,
+		.except = excluded,
 		.job = item->job,
 		.team_rank = item->team_rank,
 		.route_rank = item->route_rank,
@@ -48,26 +50,26 @@
 		const struct comet_instance *instance = shard->members->pdata[i];
 		if (comet_endpoint_picker_is_usable(item, instance, now_us))
 			usable++;
-		else if (ask.n_except < G_N_ELEMENTS(except))
-			except[ask.n_except++] = instance->key;
+		else if (request.n_except < G_N_ELEMENTS(excluded))
+			excluded[request.n_except++] = instance->key;
 	}
 	if (usable == 0)
 		return;
 	item->asking = true;
-	placement->asking++;
-	placement->ops->ask(placement->ctx, item, shard, &ask);
+	placement->n_slot_requests++;
+	placement->ops->ask(placement->ctx, item, shard, &request);
 }
 
-/* What this VM knows of a shard, for one item. */
-struct shard_prospect
+/* Estimates for placing one item in a shard. */
+struct shard_candidate
 {
 	struct comet_shard *shard;
 	enum comet_placement_owner keeper;
-	struct comet_instance *best; /* by what this VM knows; NULL: nothing has room */
-	struct comet_placement_decision reason;
+	struct comet_instance *best; /* by the information of this VM; NULL: no instance has room */
+	struct comet_placement_decision decision;
 };
 
-/* The part of what cold endpoints of a shard bear that this VM decides on. */
+/* The share of the slow start capacity of the endpoints of a shard that this VM may use. */
 static double
 cold_share_of(const struct comet_placement *placement, enum comet_placement_owner keeper)
 {
@@ -83,92 +85,96 @@
 	return 0;
 }
 
-static struct shard_prospect
-look_at(struct comet_placement *placement, const struct comet_placement_item *item,
+static struct shard_candidate
+evaluate_shard(struct comet_placement *placement, const struct comet_placement_item *item,
 	struct comet_shard *shard, uint32_t beyond, uint64_t now_us)
 {
-	struct shard_prospect prospect = {
+	struct shard_candidate candidate = {
 		.shard = shard,
 		.keeper = placement->ops->keeper(placement->ctx, shard),
 	};
 	struct comet_endpoint_picker_scope scope = {
-		.among = shard->members,
+		.instances = shard->members,
 		.beyond = beyond,
-		.kept = prospect.keeper == COMET_PLACEMENT_OWNER_SELF,
-		.cold_share = cold_share_of(placement, prospect.keeper),
+		.kept = candidate.keeper == COMET_PLACEMENT_OWNER_SELF,
+		.cold_share = cold_share_of(placement, candidate.keeper),
 	};
 
-	prospect.best = comet_endpoint_picker_pick(
-		&placement->choice, item, &scope, now_us, &prospect.reason);
-	return prospect;
+	candidate.best = comet_endpoint_picker_pick(
+		&placement->choice, item, &scope, now_us, &candidate.decision);
+	return candidate;
 }
 
-/* Takes a slot that this VM may choose by itself, or asks for one. @return as
+/* Returns the instance picked by this VM, or sends a slot request to the owner. @return as
  * comet_placement_find() */
 static struct comet_instance *
-use(struct comet_placement *placement, struct comet_placement_item *item,
-	const struct shard_prospect *prospect, uint32_t beyond, uint64_t now_us)
+take_or_request_slot(struct comet_placement *placement, struct comet_placement_item *item,
+	const struct shard_candidate *candidate, uint32_t beyond, uint64_t now_us)
 {
-	if (prospect->keeper == COMET_PLACEMENT_OWNER_OTHER)
+	if (candidate->keeper == COMET_PLACEMENT_OWNER_OTHER)
 	{
-		ask_keeper(placement, item, prospect->shard, beyond, 0, now_us);
+		request_slot(placement, item, candidate->shard, beyond, 0, now_us);
 		return NULL;
 	}
-	placement->reason = prospect->reason;
-	return prospect->best;
+	placement->decision = candidate->decision;
+	return candidate->best;
 }
 
-/* Looks in all shards: in the one that seems cheapest, or else in those whose keepers may know of
- * room that views do not show, beginning anywhere. here: only where no keeper needs to be asked. */
+/* Searches all shards, from a random one on. Prefers the cheapest shard with room, and otherwise an
+ * owner that may know of room which gossip does not show. local_only: skips shards that need a slot
+ * request. */
 static struct comet_instance *
 find_at_level(struct comet_placement *placement, struct comet_placement_item *item,
-	const GPtrArray *shards, uint32_t beyond, bool here, uint64_t now_us)
+	const GPtrArray *shards, uint32_t beyond, bool local_only, uint64_t now_us)
 {
-	uint32_t turn = comet_random_u32(&placement->choice.draw);
-	struct shard_prospect cheapest = {0};
-	struct shard_prospect full = {0};
+	uint32_t offset = comet_random_u32(&placement->choice.rng);
+	struct shard_candidate cheapest = {0};
+	struct shard_candidate full = {0};
 
 	for (guint i = 0; i < shards->len; i++)
 	{
-		struct comet_shard *shard = shards->pdata[(i + turn) % shards->len];
+		struct comet_shard *shard = shards->pdata[(i + offset) % shards->len];
 		if (now_us < shard->denied_us[beyond])
 			continue;
-		struct shard_prospect prospect = look_at(placement, item, shard, beyond, now_us);
-		if (here && prospect.keeper == COMET_PLACEMENT_OWNER_OTHER)
+		struct shard_candidate candidate =
+			evaluate_shard(placement, item, shard, beyond, now_us);
+		if (local_only && candidate.keeper == COMET_PLACEMENT_OWNER_OTHER)
 			continue;
-		if (prospect.best == NULL)
+		if (candidate.best == NULL)
 		{
-			item->held = item->held || prospect.reason.held;
-			if (prospect.keeper == COMET_PLACEMENT_OWNER_OTHER &&
-				prospect.reason.candidates > 0)
-				full = prospect;
+			item->deferred = item->deferred || candidate.decision.deferred;
+			if (candidate.keeper == COMET_PLACEMENT_OWNER_OTHER &&
+				candidate.decision.candidates > 0)
+				full = candidate;
 			continue;
 		}
-		if (cheapest.best == NULL || prospect.reason.cost < cheapest.reason.cost)
-			cheapest = prospect;
+		if (cheapest.best == NULL || candidate.decision.cost < cheapest.decision.cost)
+			cheapest = candidate;
 	}
 	if (cheapest.best != NULL)
-		return use(placement, item, &cheapest, beyond, now_us);
-	return full.shard != NULL ? use(placement, item, &full, beyond, now_us) : NULL;
+		return take_or_request_slot(placement, item, &cheapest, beyond, now_us);
+	return full.shard != NULL ? take_or_request_slot(placement, item, &full, beyond, now_us)
+				  : NULL;
 }
 
-/* Leaves it with one of the keepers, to wait there for a slot. */
+/* Sends a slot request with a wait time to one of the owners. */
 static void
-wait_at_keeper(struct comet_placement *placement, struct comet_placement_item *item,
+wait_at_owner(struct comet_placement *placement, struct comet_placement_item *item,
 	const GPtrArray *shards, uint64_t now_us)
 {
-	uint32_t turn = comet_random_u32(&placement->choice.draw);
+	uint32_t offset = comet_random_u32(&placement->choice.rng);
 
 	for (guint i = 0; i < shards->len && !item->asking; i++)
 	{
-		struct comet_shard *shard = shards->pdata[(i + turn) % shards->len];
+		struct comet_shard *shard = shards->pdata[(i + offset) % shards->len];
 		if (placement->ops->keeper(placement->ctx, shard) == COMET_PLACEMENT_OWNER_OTHER)
-			ask_keeper(placement, item, shard, comet_endpoint_picker_queue_limit(item),
-				WAIT_US, now_us);
+			request_slot(placement, item, shard,
+				comet_endpoint_picker_queue_limit(item), OWNER_WAIT_US, now_us);
 	}
 }
 
-/* The shards of an item's service; NULL where nobody keeps count. */
+/* @return the shards of the service of an item; NULL if shards have no owners or the service has no
+ * endpoints */
 static const GPtrArray *
 shards_for(struct comet_placement *placement, const struct comet_placement_item *item)
 {
@@ -178,25 +184,25 @@
 }
 
 static struct comet_instance *
-find(struct comet_placement *placement, struct comet_placement_item *item, bool here,
+find_slot(struct comet_placement *placement, struct comet_placement_item *item, bool local_only,
 	uint64_t now_us)
 {
 	const GPtrArray *shards = shards_for(placement, item);
-	struct comet_instance *found = NULL;
+	struct comet_instance *instance = NULL;
 
-	item->held = false;
+	item->deferred = false;
 	if (shards == NULL)
 	{
-		found = comet_placement_choose_by_gossip(placement, item, now_us);
-		item->held = placement->reason.held;
-		return found;
+		instance = comet_placement_choose_by_gossip(placement, item, now_us);
+		item->deferred = placement->decision.deferred;
+		return instance;
 	}
 	for (uint32_t beyond = 0; beyond <= comet_endpoint_picker_queue_limit(item); beyond++)
 	{
-		bool asked = item->asking;
-		found = find_at_level(placement, item, shards, beyond, here, now_us);
-		if (found != NULL || item->asking != asked)
-			return found;
+		bool was_asking = item->asking;
+		instance = find_at_level(placement, item, shards, beyond, local_only, now_us);
+		if (instance != NULL || item->asking != was_asking)
+			return instance;
 	}
 	return NULL;
 }
@@ -205,17 +211,17 @@
 comet_placement_find(
 	struct comet_placement *placement, struct comet_placement_item *item, uint64_t now_us)
 {
-	struct comet_instance *found = find(placement, item, false, now_us);
+	struct comet_instance *instance = find_slot(placement, item, false, now_us);
 	const GPtrArray *shards = shards_for(placement, item);
 
-	if (found == NULL && !item->asking && item->place != NULL && shards != NULL)
-		wait_at_keeper(placement, item, shards, now_us);
-	return found;
+	if (instance == NULL && !item->asking && item->queue_position != NULL && shards != NULL)
+		wait_at_owner(placement, item, shards, now_us);
+	return instance;
 }
 
 struct comet_instance *
 comet_placement_find_local(
 	struct comet_placement *placement, struct comet_placement_item *item, uint64_t now_us)
 {
-	return find(placement, item, true, now_us);
+	return find_slot(placement, item, true, now_us);
 }
--- a/libcometspindle/gateway/placement/placement_item.h
+++ b/libcometspindle/gateway/placement/placement_item.h
@@ -1,6 +1,7 @@
 /*
  * placement_item.h
- * a request that is to be placed, an ask for a slot, and what placement needs of its owner
+ * Defines a request to be placed, a slot request, and the operations that
+ * placement needs from its user.
  */
 #ifndef COMETSPINDLE_GATEWAY_PLACEMENT_ITEM_H
 #define COMETSPINDLE_GATEWAY_PLACEMENT_ITEM_H
@@ -11,92 +12,99 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Endpoints that one request may be kept from: it was there already. */
+/** Attempts of one request whose endpoints are excluded from further attempts. */
 #define COMET_PLACEMENT_TRIED_MAX 4
 
-/** Endpoints that one ask may except. */
+/** Endpoints that one slot request may exclude. */
 #define COMET_SLOT_REQUEST_EXCEPT_MAX 16
 
-/** A request that is to be placed; embedded in its owner. */
+/** A request to be placed; embedded in the structure of its user. */
 struct comet_placement_item
 {
 	const char *service;
 	struct comet_request_size job;
-	uint32_t team_rank;  /**< goes first: 0 is the most urgent */
-	uint32_t route_rank; /**< among equal team_rank */
-	bool repeatable;     /**< a failure on an endpoint of doubtful health can be made good */
-	uint64_t end_us;     /**< an answer that is not whole by then is lost; 0: no bound */
-	uint64_t dispatch_deadline_us; /**< to be dispatched by then or not at all */
-	uint64_t soft_deadline_us;     /**< an answer that begins later is of little use; 0: no such
-					  time */
-	uint64_t early_us;             /**< a refusal before then costs its caller little */
-	uint32_t tried[COMET_PLACEMENT_TRIED_MAX]; /**< keys of instances it was sent to */
+	uint32_t team_rank;  /**< Compared first; 0 is the most urgent. */
+	uint32_t route_rank; /**< Compared among equal team_rank; 0 is the most urgent. */
+	bool repeatable; /**< A failed attempt may be retried, so the request may probe an ejected
+			    endpoint. */
+	uint64_t end_us; /**< An answer must be complete by then to be of use; 0: no deadline. */
+	uint64_t dispatch_deadline_us; /**< The request is refused if it has not been dispatched by
+					  then. */
+	uint64_t soft_deadline_us;     /**< An answer should begin by then; 0: no such deadline. */
+	uint64_t early_us;             /**< Until then a refusal costs the caller little. */
+	uint32_t
+		tried[COMET_PLACEMENT_TRIED_MAX]; /**< Keys of the instances of earlier attempts. */
 	uint32_t n_tried;
 	void *owner;
-	uint32_t keeper; /**< VM that granted the slot it was sent to; 0: none did */
-	/* placement's own */
-	bool asking; /* a keeper's answer is awaited */
-	bool queued; /* it has waited */
-	bool late;   /* it cannot begin by soft_deadline_us any more */
-	bool held;   /* there is room, but only where it would be late */
-	GSequenceIter *place;
-	uint64_t since_us;
-	uint64_t order;
+	uint32_t keeper; /**< Address of the owner that granted the slot; 0: no grant was used. */
+	/* The members below are private to placement. */
+	bool asking;     /* a slot request is pending at an owner */
+	bool was_queued; /* has been in the queue since it was submitted */
+	bool late;       /* an answer can no longer begin by soft_deadline_us */
+	bool deferred;   /* endpoints with room would miss the soft deadline */
+	GSequenceIter *queue_position;
+	uint64_t submitted_us;
+	uint64_t sequence;
 };
 
-/** Which slot a keeper is asked for, and for what request. */
+/** A request to an owner for a slot. */
 struct comet_slot_request
 {
-	uint32_t asker;         /**< keeper's side: address of the VM that asks */
-	uint64_t number;        /**< keeper's side: of the ask, for its VM */
-	uint32_t shard;         /**< id */
-	uint32_t beyond;        /**< requests that may be at an endpoint beyond its slots */
-	const uint32_t *except; /**< keys of endpoints that are not wanted */
+	uint32_t asker;  /**< At the owner: address of the requesting VM. */
+	uint64_t number; /**< At the owner: number that the requesting VM gave this slot request. */
+	uint32_t shard;  /**< Id of the shard. */
+	uint32_t beyond; /**< Requests allowed at an endpoint in excess of its slots. */
+	const uint32_t *except; /**< Keys of instances that must not be granted. */
 	size_t n_except;
 	struct comet_request_size job;
 	uint32_t team_rank;
 	uint32_t route_rank;
-	bool late;                 /**< it cannot be in time any more */
-	uint64_t end_us;           /**< the answer must be whole by then; 0: no bound */
-	uint64_t soft_deadline_us; /**< it should begin by then; 0: no matter */
-	uint64_t wait_us; /**< it may wait so long for a slot; 0: an answer is wanted at once */
+	bool late;                 /**< The answer can no longer begin by soft_deadline_us. */
+	uint64_t end_us;           /**< The answer must be complete by then; 0: no deadline. */
+	uint64_t soft_deadline_us; /**< The answer should begin by then; 0: no such deadline. */
+	uint64_t wait_us; /**< Time that the request may wait at the owner; 0: the owner replies at
+			     once. */
 };
 
-/** What a keeper that has no slot for a request says of its wait. */
+/** An owner's reply to a slot request that it cannot grant at once. */
 struct comet_placement_wait_estimate
 {
-	bool waits;           /**< it is granted a slot later, or forgotten after its wait_us */
-	uint64_t expected_us; /**< by the pace at which its rank gets slots there */
+	bool waits; /**< The request is a remote waiter: it is granted a slot later or expires after
+		       wait_us. */
+	uint64_t expected_us; /**< Expected wait, from the dequeue rate of its rank at the owner. */
 };
 
-/** Who keeps count of a shard. */
+/** Which VM owns a shard. */
 enum comet_placement_owner
 {
-	COMET_PLACEMENT_OWNER_NONE,  /**< nobody that answers: views have to do */
-	COMET_PLACEMENT_OWNER_SELF,  /**< this VM */
-	COMET_PLACEMENT_OWNER_OTHER, /**< another VM, which must be asked */
+	COMET_PLACEMENT_OWNER_NONE,  /**< No VM that responds; requests are placed by gossip. */
+	COMET_PLACEMENT_OWNER_SELF,  /**< This VM. */
+	COMET_PLACEMENT_OWNER_OTHER, /**< Another VM, which grants slots on request. */
 };
 
 struct comet_placement_ops
 {
-	/** Send it there now. */
+	/** Sends the request to the instance now. */
 	void (*dispatch)(
 		void *ctx, struct comet_placement_item *item, struct comet_instance *instance);
-	/** It has not run; come back after retry_after_ms. */
+	/** Refuses the request, which has not run; the caller may retry after retry_after_ms. */
 	void (*refuse)(void *ctx, struct comet_placement_item *item, uint32_t retry_after_ms);
-	/** Who keeps count of it; NULL: nobody ever does. */
+	/** Finds the owner of a shard. NULL: shards have no owners. */
 	enum comet_placement_owner (*keeper)(void *ctx, struct comet_shard *shard);
-	/** Asks its keeper; ends in comet_placement_granted, _denied or _unanswered. */
+	/**
+	 * Sends a slot request to the owner of a shard. It ends in comet_placement_granted,
+	 * _denied, _wait_expired or _unanswered, or by forget.
+	 */
 	void (*ask)(void *ctx, struct comet_placement_item *item, struct comet_shard *shard,
-		const struct comet_slot_request *ask);
-	/** The answer to an ask is not awaited any more. */
+		const struct comet_slot_request *request);
+	/** Cancels the pending slot request of an item. */
 	void (*forget)(void *ctx, struct comet_placement_item *item);
-	/** Keeper's side: a request that has waited here may have a slot. */
-	void (*grant)(
-		void *ctx, const struct comet_slot_request *ask, struct comet_instance *instance);
+	/** At the owner: grants a slot to a remote waiter. */
+	void (*grant)(void *ctx, const struct comet_slot_request *request,
+		struct comet_instance *instance);
 };
 
-/** Why the last choice fell on an instance, for the log. */
+/** Inputs and result of the last pick, for the log. */
 struct comet_placement_decision
 {
 	uint32_t load;
@@ -106,9 +114,10 @@
 	uint64_t first_us;
 	uint64_t total_us;
 	uint64_t waited_us;
-	uint64_t view_age_us; /**< of what is known of its load */
-	double cost;          /**< by which it was the cheapest, in microseconds */
-	bool held; /**< none was chosen: those with room would make it late, a full one would not */
+	uint64_t view_age_us; /**< Age of the load information. */
+	double cost;          /**< Estimated cost of the picked instance, in microseconds. */
+	bool deferred; /**< No instance was picked: those with room would miss the soft deadline,
+			  and a full one would meet it. */
 };
 
 #endif
--- a/libcometspindle/gateway/placement/placement_queue.c
+++ b/libcometspindle/gateway/placement/placement_queue.c
@@ -1,18 +1,19 @@
 /*
  * placement_queue.c
- * what waits for a service: in which order, and for how long
+ * Queues of requests that wait for a service: their order and their expected
+ * waits.
  */
 #include <libcometspindle/gateway/placement/placement_queue.h>
 
 #include <libcometspindle/gateway/placement/placement_state.h>
 
-/* Least part of a service's endpoints that a VM takes for its own when it reckons how fast its
- * queue moves: more VMs than this bring only a few requests each. */
-#define SHARE_MIN 0.02
+/* Minimum share of the slots of a service that a VM assumes for itself when it estimates its waits.
+ * A VM with a smaller share has only a few requests. */
+#define MIN_SLOT_SHARE 0.02
 
-/* While no endpoint of a service can be used, the next is reckoned with after this time: as long as
- * one takes to be listed after its start. */
-#define NOBODY_US 1000000.0
+/* Assumed interval between free slots while no endpoint of a service is usable: the time from the
+ * start of an endpoint until it is listed. */
+#define NO_ENDPOINT_INTERVAL_US 1000000.0
 
 static void
 free_queue(gpointer data)
@@ -67,9 +68,9 @@
 		return a->route_rank < b->route_rank ? -1 : 1;
 	if (a->late != b->late)
 		return a->late ? 1 : -1;
-	if (a->order == b->order)
+	if (a->sequence == b->sequence)
 		return 0;
-	return a->order < b->order ? -1 : 1;
+	return a->sequence < b->sequence ? -1 : 1;
 }
 
 uint32_t
@@ -92,8 +93,9 @@
 	struct comet_placement_queue *queue, struct comet_placement_item *item, uint64_t now_us)
 {
 	comet_dequeue_rate_enqueued(comet_placement_dequeue_rate(queue, item), now_us);
-	item->queued = true;
-	item->place = g_sequence_insert_sorted(queue->items, item, comet_placement_compare, NULL);
+	item->was_queued = true;
+	item->queue_position =
+		g_sequence_insert_sorted(queue->items, item, comet_placement_compare, NULL);
 }
 
 void
@@ -102,18 +104,18 @@
 	struct comet_placement_queue *queue = comet_placement_queue_of(placement, item->service);
 
 	comet_dequeue_rate_removed(comet_placement_dequeue_rate(queue, item));
-	g_sequence_remove(item->place);
-	item->place = NULL;
+	g_sequence_remove(item->queue_position);
+	item->queue_position = NULL;
 }
 
-/* How fast a service's queue moves here: the time between two slots that come free for this VM. */
+/* Estimates the interval between two slots that become free for this VM. */
 static double
 slot_interval_us(struct comet_placement *placement, const char *service, uint64_t now_us)
 {
 	const GPtrArray *all = comet_instances_for_service(placement->instances, service);
-	double usual_us = (double)comet_instances_typical_slot_us(placement->instances, service);
-	double per_us = 0;
-	double own = 0;
+	double typical_us = (double)comet_instances_typical_slot_us(placement->instances, service);
+	double slots_per_us = 0;
+	double local_load = 0;
 	double load = 0;
 
 	for (guint i = 0; all != NULL && i < all->len; i++)
@@ -122,14 +124,14 @@
 		if (instance->draining || instance->evacuated || instance->replaced ||
 			instance->ejected_until_us > now_us)
 			continue;
-		per_us += instance->slots / (usual_us * instance->pace);
-		own += instance->own;
+		slots_per_us += instance->slots / (typical_us * instance->pace);
+		local_load += instance->own;
 		load += comet_instance_load(instance, now_us);
 	}
-	if (per_us == 0)
-		return NOBODY_US;
-	double share = CLAMP((own + 1) / (load + 1), SHARE_MIN, 1.0);
-	return 1 / per_us / share;
+	if (slots_per_us == 0)
+		return NO_ENDPOINT_INTERVAL_US;
+	double local_share = CLAMP((local_load + 1) / (load + 1), MIN_SLOT_SHARE, 1.0);
+	return 1 / slots_per_us / local_share;
 }
 
 uint64_t
@@ -137,15 +139,15 @@
 	struct comet_placement *placement, const struct comet_placement_item *item, uint64_t now_us)
 {
 	struct comet_placement_queue *queue = comet_placement_queue_of(placement, item->service);
-	struct comet_placement_item probe = *item;
+	struct comet_placement_item last = *item;
 
-	probe.order = UINT64_MAX;
-	GSequenceIter *at = g_sequence_search(queue->items, &probe, comet_placement_compare, NULL);
-	int ahead = g_sequence_iter_get_position(at);
-	double by_slots = (ahead + 1) * slot_interval_us(placement, item->service, now_us);
-	double by_pace = comet_dequeue_rate_expected_wait_us(
+	last.sequence = UINT64_MAX;
+	GSequenceIter *iter = g_sequence_search(queue->items, &last, comet_placement_compare, NULL);
+	int n_ahead = g_sequence_iter_get_position(iter);
+	double by_slots_us = (n_ahead + 1) * slot_interval_us(placement, item->service, now_us);
+	double by_rate_us = comet_dequeue_rate_expected_wait_us(
 		comet_placement_dequeue_rate(queue, item), now_us);
-	return (uint64_t)MAX(by_slots, by_pace);
+	return (uint64_t)MAX(by_slots_us, by_rate_us);
 }
 
 bool
@@ -162,11 +164,11 @@
 comet_placement_each_service(const struct comet_placement *placement,
 	void (*visit)(void *ctx, const char *service, uint32_t waiting), void *ctx)
 {
-	GHashTableIter at;
+	GHashTableIter iter;
 	gpointer value = NULL;
 
-	g_hash_table_iter_init(&at, placement->queues);
-	while (g_hash_table_iter_next(&at, NULL, &value))
+	g_hash_table_iter_init(&iter, placement->queues);
+	while (g_hash_table_iter_next(&iter, NULL, &value))
 	{
 		const struct comet_placement_queue *queue = value;
 		visit(ctx, queue->service, (uint32_t)g_sequence_get_length(queue->items));
--- a/libcometspindle/gateway/placement/placement_remote_waiters.c
+++ b/libcometspindle/gateway/placement/placement_remote_waiters.c
@@ -1,101 +1,105 @@
 /*
  * placement_remote_waiters.c
- * requests of other VMs that wait here for slots this VM keeps count of
+ * Manages requests of other VMs that wait here for slots of shards that this
+ * VM owns.
  *
- * They are served in one order with this VM's own, so that a slot goes to the
- * most urgent request in time of all VMs that wait here, as soon as it is free.
+ * Remote waiters and the requests of this VM are served in one order. A slot
+ * that becomes free thus goes at once to the most urgent of all requests that
+ * wait here, and within a rank to those that can still be answered in time.
  */
 #include <libcometspindle/gateway/placement/placement_state.h>
 
 #include <string.h>
 
-/* A guest waits no longer than this, whatever its VM tells: three times as long as any VM asks for.
- */
-#define GUEST_WAIT_MAX_US 1000000
+/* Maximum wait of a remote waiter, whatever its VM requested: about three times the wait that a VM
+ * requests. */
+#define REMOTE_WAIT_MAX_US 1000000
 
-/* So many guests wait for a service at a time: four of each of the VMs that may be known. */
-#define GUESTS_MAX 8192
+/* Maximum number of remote waiters of a service: four for each VM that may be known. */
+#define REMOTE_WAITERS_MAX 8192
 
-/* The slot for a guest at one level of room, or NULL; held: there is room where it would be late.
- */
+/* Picks an instance for a remote waiter at one level of room, or returns NULL. deferred: endpoints
+ * with room would miss the soft deadline. */
 static struct comet_instance *
-choose_at(struct comet_placement *placement,
+pick_at_level(struct comet_placement *placement,
 	const struct comet_placement_remote_waiter *remote_waiter, const struct comet_shard *shard,
-	uint32_t beyond, uint64_t now_us, bool *held)
+	uint32_t beyond, uint64_t now_us, bool *deferred)
 {
-	struct comet_placement_decision reason;
+	struct comet_placement_decision decision;
 	struct comet_endpoint_picker_scope scope = {
-		.among = shard->members,
+		.instances = shard->members,
 		.beyond = beyond,
 		.kept = true,
 		.cold_share = placement->owner_share,
-		.except = remote_waiter->except,
-		.n_except = (uint32_t)remote_waiter->ask.n_except,
+		.excluded = remote_waiter->excluded,
+		.n_excluded = (uint32_t)remote_waiter->request.n_except,
 	};
 	struct comet_instance *best = comet_endpoint_picker_pick(
-		&placement->choice, &remote_waiter->item, &scope, now_us, &reason);
+		&placement->choice, &remote_waiter->item, &scope, now_us, &decision);
 
-	*held = reason.held;
+	*deferred = decision.deferred;
 	return best;
 }
 
-/* The slot for a guest, free ones first. What is full for one that takes any endpoint is so for all
- * in this pass. */
+/* Picks an instance for a remote waiter, with free slots first. A level that is full for a request
+ * without exclusions is skipped for the rest of the pass. */
 static struct comet_instance *
-choose(struct comet_placement *placement, const struct comet_placement_remote_waiter *remote_waiter,
+pick(struct comet_placement *placement, const struct comet_placement_remote_waiter *remote_waiter,
 	uint64_t now_us)
 {
-	struct comet_shard *shard = comet_shards_find(placement->shards, remote_waiter->ask.shard);
-	uint32_t most = MIN(remote_waiter->ask.beyond, COMET_SHARD_LEVELS - 1);
+	struct comet_shard *shard =
+		comet_shards_find(placement->shards, remote_waiter->request.shard);
+	uint32_t max_beyond = MIN(remote_waiter->request.beyond, COMET_SHARD_LEVELS - 1);
 
-	for (uint32_t beyond = 0; shard != NULL && beyond <= most; beyond++)
+	for (uint32_t beyond = 0; shard != NULL && beyond <= max_beyond; beyond++)
 	{
-		bool held = false;
+		bool deferred = false;
 		if (shard->full_pass[beyond] == placement->pass)
 			continue;
 		struct comet_instance *best =
-			choose_at(placement, remote_waiter, shard, beyond, now_us, &held);
+			pick_at_level(placement, remote_waiter, shard, beyond, now_us, &deferred);
 		if (best != NULL)
 		{
 			comet_instance_selected(best, now_us);
 			return best;
 		}
-		if (!held && remote_waiter->ask.n_except == 0)
+		if (!deferred && remote_waiter->request.n_except == 0)
 			shard->full_pass[beyond] = placement->pass;
 	}
 	return NULL;
 }
 
-/* The request behind an ask, as the asker told of it. */
+/* Creates a remote waiter from the slot request. */
 static struct comet_placement_remote_waiter *
-create_guest(
-	struct comet_placement *placement, const struct comet_slot_request *ask, uint64_t now_us)
+create_remote_waiter(struct comet_placement *placement, const struct comet_slot_request *request,
+	uint64_t now_us)
 {
 	struct comet_placement_remote_waiter *remote_waiter =
 		g_new0(struct comet_placement_remote_waiter, 1);
-	size_t n_except = MIN(ask->n_except, G_N_ELEMENTS(remote_waiter->except));
+	size_t n_except = MIN(request->n_except, G_N_ELEMENTS(remote_waiter->excluded));
 
-	remote_waiter->ask = *ask;
-	remote_waiter->ask.n_except = n_except;
+	remote_waiter->request = *request;
+	remote_waiter->request.n_except = n_except;
 	if (n_except > 0)
-		memcpy(remote_waiter->except, ask->except,
-			n_except * sizeof remote_waiter->except[0]);
-	remote_waiter->ask.except = remote_waiter->except;
-	remote_waiter->item.job = ask->job;
-	remote_waiter->item.team_rank = ask->team_rank;
-	remote_waiter->item.route_rank = ask->route_rank;
-	remote_waiter->item.end_us = ask->end_us;
-	remote_waiter->item.soft_deadline_us = ask->soft_deadline_us;
-	remote_waiter->item.late = ask->late;
-	remote_waiter->item.dispatch_deadline_us = now_us + MIN(ask->wait_us, GUEST_WAIT_MAX_US);
-	remote_waiter->item.since_us = now_us;
-	remote_waiter->item.order = placement->next_order++;
+		memcpy(remote_waiter->excluded, request->except,
+			n_except * sizeof remote_waiter->excluded[0]);
+	remote_waiter->request.except = remote_waiter->excluded;
+	remote_waiter->item.job = request->job;
+	remote_waiter->item.team_rank = request->team_rank;
+	remote_waiter->item.route_rank = request->route_rank;
+	remote_waiter->item.end_us = request->end_us;
+	remote_waiter->item.soft_deadline_us = request->soft_deadline_us;
+	remote_waiter->item.late = request->late;
+	remote_waiter->item.dispatch_deadline_us =
+		now_us + MIN(request->wait_us, REMOTE_WAIT_MAX_US);
+	remote_waiter->item.submitted_us = now_us;
+	remote_waiter->item.sequence = placement->next_sequence++;
 	return remote_waiter;
 }
 
-/* How fast guests of a rank get slots here. */
+/* Returns the dequeue rate of remote waiters of this rank. */
 static struct comet_dequeue_rate *
-flow_of(struct comet_placement_queue *queue,
+dequeue_rate_of(struct comet_placement_queue *queue,
 	const struct comet_placement_remote_waiter *remote_waiter)
 {
 	uint32_t rank = MIN(comet_placement_rank(&remote_waiter->item), COMET_PLACEMENT_RANKS - 1);
@@ -103,44 +107,46 @@
 	return &queue->remote_dequeue_rates[rank];
 }
 
-/* It waits here no more. */
+/* Removes and frees a remote waiter. */
 static void
-let_go(struct comet_placement_queue *queue, struct comet_placement_remote_waiter *remote_waiter)
+remove_remote_waiter(
+	struct comet_placement_queue *queue, struct comet_placement_remote_waiter *remote_waiter)
 {
-	comet_dequeue_rate_removed(flow_of(queue, remote_waiter));
-	g_sequence_remove(remote_waiter->item.place);
+	comet_dequeue_rate_removed(dequeue_rate_of(queue, remote_waiter));
+	g_sequence_remove(remote_waiter->item.queue_position);
 }
 
 struct comet_instance *
 comet_placement_admit_remote_waiter(struct comet_placement *placement,
-	const struct comet_slot_request *ask, uint64_t now_us,
+	const struct comet_slot_request *request, uint64_t now_us,
 	struct comet_placement_wait_estimate *wait)
 {
-	const struct comet_shard *shard = comet_shards_find(placement->shards, ask->shard);
+	const struct comet_shard *shard = comet_shards_find(placement->shards, request->shard);
 	struct comet_instance *best = NULL;
 
 	memset(wait, 0, sizeof *wait);
 	if (shard == NULL)
 		return NULL;
 	struct comet_placement_queue *queue = comet_placement_queue_of(placement, shard->service);
-	struct comet_placement_remote_waiter *remote_waiter = create_guest(placement, ask, now_us);
+	struct comet_placement_remote_waiter *remote_waiter =
+		create_remote_waiter(placement, request, now_us);
 	remote_waiter->item.service = queue->service;
-	if (!comet_placement_has_waiting(queue) || ask->wait_us == 0)
+	if (!comet_placement_has_waiting(queue) || request->wait_us == 0)
 	{
 		placement->pass++;
-		best = choose(placement, remote_waiter, now_us);
+		best = pick(placement, remote_waiter, now_us);
 	}
-	bool full = g_sequence_get_length(queue->remote_waiters) >= GUESTS_MAX;
-	if (best != NULL || ask->wait_us == 0 || full)
+	bool full = g_sequence_get_length(queue->remote_waiters) >= REMOTE_WAITERS_MAX;
+	if (best != NULL || request->wait_us == 0 || full)
 	{
 		g_free(remote_waiter);
 		return best;
 	}
 	wait->waits = true;
 	wait->expected_us = (uint64_t)comet_dequeue_rate_expected_wait_us(
-		flow_of(queue, remote_waiter), now_us);
-	comet_dequeue_rate_enqueued(flow_of(queue, remote_waiter), now_us);
-	remote_waiter->item.place = g_sequence_insert_sorted(
+		dequeue_rate_of(queue, remote_waiter), now_us);
+	comet_dequeue_rate_enqueued(dequeue_rate_of(queue, remote_waiter), now_us);
+	remote_waiter->item.queue_position = g_sequence_insert_sorted(
 		queue->remote_waiters, remote_waiter, comet_placement_compare, NULL);
 	return NULL;
 }
@@ -149,28 +155,29 @@
 comet_placement_grant_remote_waiter(struct comet_placement *placement,
 	struct comet_placement_remote_waiter *remote_waiter, uint64_t now_us)
 {
-	struct comet_instance *best = choose(placement, remote_waiter, now_us);
+	struct comet_instance *best = pick(placement, remote_waiter, now_us);
 
 	if (best == NULL)
 		return;
 	struct comet_placement_queue *queue =
 		comet_placement_queue_of(placement, remote_waiter->item.service);
-	placement->ops->grant(placement->ctx, &remote_waiter->ask, best);
-	comet_dequeue_rate_dispatched(flow_of(queue, remote_waiter), now_us);
-	let_go(queue, remote_waiter);
+	placement->ops->grant(placement->ctx, &remote_waiter->request, best);
+	comet_dequeue_rate_dispatched(dequeue_rate_of(queue, remote_waiter), now_us);
+	remove_remote_waiter(queue, remote_waiter);
 }
 
-/* Its request cannot be in time any more: it goes behind those of its rank that can. */
+/* Moves a late remote waiter behind those of its rank that are in time. */
 static void
-demote(struct comet_placement_queue *queue, struct comet_placement_remote_waiter *remote_waiter)
+demote_late_waiter(
+	struct comet_placement_queue *queue, struct comet_placement_remote_waiter *remote_waiter)
 {
 	struct comet_placement_remote_waiter *copy =
 		g_memdup2(remote_waiter, sizeof *remote_waiter);
 
-	copy->ask.except = copy->except;
+	copy->request.except = copy->excluded;
 	copy->item.late = true;
-	g_sequence_remove(remote_waiter->item.place);
-	copy->item.place = g_sequence_insert_sorted(
+	g_sequence_remove(remote_waiter->item.queue_position);
+	copy->item.queue_position = g_sequence_insert_sorted(
 		queue->remote_waiters, copy, comet_placement_compare, NULL);
 }
 
@@ -178,16 +185,17 @@
 comet_placement_expire_remote_waiters(
 	struct comet_placement *placement, struct comet_placement_queue *queue, uint64_t now_us)
 {
-	GSequenceIter *at = g_sequence_get_begin_iter(queue->remote_waiters);
+	GSequenceIter *iter = g_sequence_get_begin_iter(queue->remote_waiters);
 
-	while (!g_sequence_iter_is_end(at))
+	while (!g_sequence_iter_is_end(iter))
 	{
-		struct comet_placement_remote_waiter *remote_waiter = g_sequence_get(at);
-		at = g_sequence_iter_next(at);
+		struct comet_placement_remote_waiter *remote_waiter = g_sequence_get(iter);
+		iter = g_sequence_iter_next(iter);
+		/* The VM of an expired waiter has sent its request to another owner by now. */
 		if (remote_waiter->item.dispatch_deadline_us <= now_us)
-			let_go(queue, remote_waiter); /* its VM asks elsewhere by now */
+			remove_remote_waiter(queue, remote_waiter);
 		else if (!remote_waiter->item.late &&
 			 comet_placement_is_late(placement, &remote_waiter->item, 0, now_us))
-			demote(queue, remote_waiter);
+			demote_late_waiter(queue, remote_waiter);
 	}
 }
--- a/libcometspindle/gateway/placement/placement_state.h
+++ b/libcometspindle/gateway/placement/placement_state.h
@@ -1,6 +1,6 @@
 /*
  * placement_state.h
- * what the files of placement share
+ * State and functions that the source files of placement share.
  */
 #ifndef COMETSPINDLE_GATEWAY_PLACEMENT_STATE_H
 #define COMETSPINDLE_GATEWAY_PLACEMENT_STATE_H
@@ -9,29 +9,29 @@
 #include <libcometspindle/gateway/placement/dequeue_rate.h>
 #include <libcometspindle/gateway/placement/placement_queue.h>
 
-/** Ranks whose pace in the queue is told apart; those below share the last. */
+/** Ranks with separate dequeue rates; less urgent ranks share the last one. */
 #define COMET_PLACEMENT_RANKS 8
 
-/** What waits for one service. */
+/** Requests that wait for one service. */
 struct comet_placement_queue
 {
 	char *service;
-	GSequence *items; /**< of struct comet_placement_item, in order of rank */
-	GSequence
-		*remote_waiters; /**< of struct comet_placement_remote_waiter, in the same order */
-	uint64_t aged_us;        /**< when it was last looked at what is late */
-	/** Of those that can be in time, and of the late. */
+	GSequence *items;           /**< struct comet_placement_item, in the order of
+				       comet_placement_compare() */
+	GSequence *remote_waiters;  /**< struct comet_placement_remote_waiter, in the same order */
+	uint64_t expiry_checked_us; /**< time of the last check for late and expired requests */
+	/** By rank, for requests that can meet their soft deadline [0] and for late ones [1]. */
 	struct comet_dequeue_rate dequeue_rates[COMET_PLACEMENT_RANKS][2];
-	/** Of guests, by rank. */
+	/** By rank, for remote waiters. */
 	struct comet_dequeue_rate remote_dequeue_rates[COMET_PLACEMENT_RANKS];
 };
 
-/** A request of another VM that waits here for a slot this VM keeps count of. */
+/** A request of another VM that waits here for a slot of a shard that this VM owns. */
 struct comet_placement_remote_waiter
 {
-	struct comet_placement_item item; /**< first member: guests are ordered like items */
-	struct comet_slot_request ask;
-	uint32_t except[COMET_SLOT_REQUEST_EXCEPT_MAX]; /**< what ask.except points at */
+	struct comet_placement_item item; /**< first member: remote waiters are compared as items */
+	struct comet_slot_request request;
+	uint32_t excluded[COMET_SLOT_REQUEST_EXCEPT_MAX]; /**< storage of request.except */
 };
 
 struct comet_placement
@@ -39,17 +39,19 @@
 	struct comet_instances *instances;
 	struct comet_shards *shards;
 	struct comet_endpoint_picker choice;
-	double owner_share;     /* of what a cold endpoint bears: where this VM keeps count of it */
-	double ownerless_share; /* and where none does, or none answers */
+	/* Shares of the slow start capacity of an endpoint: if this VM owns its shard, and if the
+	 * shard has no owner that responds. */
+	double owner_share;
+	double ownerless_share;
 	const struct comet_placement_ops *ops;
 	void *ctx;
-	GHashTable *queues; /* service -> struct comet_placement_queue */
-	struct comet_placement_decision reason;
-	uint32_t asking; /* requests that await a keeper's answer */
-	uint64_t next_order;
-	uint64_t pass; /* number of the last pass over a queue */
+	GHashTable *queues; /* service name -> struct comet_placement_queue */
+	struct comet_placement_decision decision;
+	uint32_t n_slot_requests; /* pending at owners, for queued and for new requests */
+	uint64_t next_sequence;
+	uint64_t pass; /* number of the current pass over a queue */
 	bool running;
-	bool again;
+	bool run_again;
 };
 
 /* placement_queue.c */
@@ -60,20 +62,20 @@
 GHashTable *
 comet_placement_queues_create(void);
 
-/** Does anything wait there, of this VM or of others? */
+/** Returns whether requests of this VM or of other VMs wait in the queue. */
 bool
 comet_placement_has_waiting(const struct comet_placement_queue *queue);
 
-/** The order in which items are served; either may be the item of a guest. */
+/** Compares items in the order of service; either may belong to a remote waiter. */
 gint
 comet_placement_compare(gconstpointer left, gconstpointer right, gpointer ctx);
 
-/** Puts an item into its queue. */
+/** Inserts an item into the queue. */
 void
 comet_placement_enqueue(
 	struct comet_placement_queue *queue, struct comet_placement_item *item, uint64_t now_us);
 
-/** Takes an item out of its queue. */
+/** Removes an item from its queue. */
 void
 comet_placement_dequeue(struct comet_placement *placement, struct comet_placement_item *item);
 
@@ -81,50 +83,55 @@
 comet_placement_dequeue_rate(
 	struct comet_placement_queue *queue, const struct comet_placement_item *item);
 
-/** Can an answer that is begun after wait_us not be in time any more? */
+/**
+ * Returns whether an answer would miss the soft deadline of the item if its service began after
+ * wait_us.
+ */
 bool
 comet_placement_is_late(const struct comet_placement *placement,
 	const struct comet_placement_item *item, uint64_t wait_us, uint64_t now_us);
 
 /* placement_find.c */
 
-/** Chooses by views among all of a service's endpoints. */
+/** Picks among all instances of the service by gossip. */
 struct comet_instance *
 comet_placement_choose_by_gossip(struct comet_placement *placement,
 	const struct comet_placement_item *item, uint64_t now_us);
 
 /**
- * Looks for a slot: free ones anywhere first, then those where the item would wait a little. When
- * there is none, it is left with a keeper to wait there.
- * @return an instance; NULL: none, or a keeper was asked and item->asking is set
+ * Finds a slot: free slots in any shard first, then places in the queues of endpoints. A queued
+ * item for which there is neither waits at one of the owners.
+ * @return the instance; NULL: no room, or a slot request was sent and item->asking is set
  */
 struct comet_instance *
 comet_placement_find(
 	struct comet_placement *placement, struct comet_placement_item *item, uint64_t now_us);
 
-/** The same among the shards that this VM may choose in by itself. */
+/** Finds a slot in the shards for which this VM needs no grant. */
 struct comet_instance *
 comet_placement_find_local(
 	struct comet_placement *placement, struct comet_placement_item *item, uint64_t now_us);
 
-/* placement_guests.c */
+/* placement_remote_waiters.c */
 
 /**
- * Chooses, as keeper, for a request of another VM.
- * @return NULL when nothing has room; wait: whether it is a guest from now on, so that the queue is
- * to be run
+ * Picks an instance, as the owner, for a request of another VM.
+ * @return the instance, or NULL if none has room; if wait->waits is set, the request now waits here
+ * and the caller has to run the queue
  */
 struct comet_instance *
 comet_placement_admit_remote_waiter(struct comet_placement *placement,
-	const struct comet_slot_request *ask, uint64_t now_us,
+	const struct comet_slot_request *request, uint64_t now_us,
 	struct comet_placement_wait_estimate *wait);
 
-/** Drops guests whose time is over, and puts late ones behind. */
+/**
+ * Removes expired remote waiters and moves late ones behind those of their rank that are in time.
+ */
 void
 comet_placement_expire_remote_waiters(
 	struct comet_placement *placement, struct comet_placement_queue *queue, uint64_t now_us);
 
-/** Grants a guest a slot if there is one, and lets it go. */
+/** Grants a slot to a remote waiter and removes it, if an instance has room. */
 void
 comet_placement_grant_remote_waiter(struct comet_placement *placement,
 	struct comet_placement_remote_waiter *remote_waiter, uint64_t now_us);
