--- a/libcometspindle/gateway/routing/routes.c
+++ b/libcometspindle/gateway/routing/routes.c
@@ -1,6 +1,7 @@
 /*
  * routes.c
- * the routing document in force: routes, services, teams and their limits
+ * The routing table built from the routing document: routes, services, teams
+ * and their limits.
  */
 #include <libcometspindle/gateway/routing/routes.h>
 
@@ -14,53 +15,55 @@
 	int refs;
 	uint64_t version;
 	struct comet_http_limits limits;
-	GHashTable *hosts;   /* host -> struct host */
-	GHashTable *keys;    /* key -> comet_route_team */
-	GHashTable *teams;   /* id -> comet_route_team */
-	GPtrArray *services; /* of comet_route_service */
+	GHashTable *hosts;   /* host name -> struct host_routes */
+	GHashTable *keys;    /* API key -> struct comet_route_team */
+	GHashTable *teams;   /* id -> struct comet_route_team */
+	GPtrArray *services; /* struct comet_route_service */
 };
 
-/* The routes of a host. A prefix is looked up by its length, so that finding one takes as long as
- * there are lengths, however many routes there are. */
-struct host
+/* The routes of one host. Prefixes are looked up by length, so that the time of a lookup depends on
+ * the number of distinct lengths and not on the number of routes. */
+struct host_routes
 {
-	GHashTable *prefixes; /* path prefix -> comet_route */
-	GArray *lengths;      /* of the prefixes, size_t, longest first */
+	GHashTable *prefixes;   /* path prefix -> struct comet_route */
+	GArray *prefix_lengths; /* distinct lengths of the prefixes, size_t, longest first */
 };
 
 static void
 free_host(gpointer data)
 {
-	struct host *host = data;
+	struct host_routes *host = data;
 
 	g_hash_table_destroy(host->prefixes);
-	g_array_free(host->lengths, TRUE);
+	g_array_free(host->prefix_lengths, TRUE);
 	g_free(host);
 }
 
-static struct host *
-host_of(struct comet_route_table *table, const char *name)
+static struct host_routes *
+find_or_add_host(struct comet_route_table *table, const char *name)
 {
-	struct host *host = g_hash_table_lookup(table->hosts, name);
+	struct host_routes *host = g_hash_table_lookup(table->hosts, name);
 
 	if (host != NULL)
 		return host;
-	host = g_new0(struct host, 1);
+	host = g_new0(struct host_routes, 1);
 	host->prefixes = g_hash_table_new(g_str_hash, g_str_equal);
-	host->lengths = g_array_new(FALSE, FALSE, sizeof(size_t));
+	host->prefix_lengths = g_array_new(FALSE, FALSE, sizeof(size_t));
 	g_hash_table_insert(table->hosts, (gpointer)name, host);
 	return host;
 }
 
 static void
-add_length(struct host *host, size_t length)
+add_prefix_length(struct host_routes *host, size_t length)
 {
-	guint at = 0;
-
-	while (at < host->lengths->len && g_array_index(host->lengths, size_t, at) > length)
-		at++;
-	if (at == host->lengths->len || g_array_index(host->lengths, size_t, at) != length)
-		g_array_insert_val(host->lengths, at, length);
+	guint i = 0;
+
+	while (i < host->prefix_lengths->len &&
+		g_array_index(host->prefix_lengths, size_t, i) > length)
+		i++;
+	if (i == host->prefix_lengths->len ||
+		g_array_index(host->prefix_lengths, size_t, i) != length)
+		g_array_insert_val(host->prefix_lengths, i, length);
 }
 
 static int
@@ -106,11 +109,11 @@
 		copy->shares[i].service = talloc_strdup(copy->shares, route->shares[i].service);
 		copy->shares[i].weight = route->shares[i].weight;
 	}
-	struct host *entry = host_of(table, copy->host);
+	struct host_routes *entry = find_or_add_host(table, copy->host);
 	if (g_hash_table_contains(entry->prefixes, copy->path_prefix))
-		return; /* the first holds */
+		return; /* the first route with this prefix takes precedence */
 	g_hash_table_insert(entry->prefixes, copy->path_prefix, copy);
-	add_length(entry, strlen(copy->path_prefix));
+	add_prefix_length(entry, strlen(copy->path_prefix));
 }
 
 void
@@ -176,23 +179,23 @@
 	return g_hash_table_size(table->teams) > 0;
 }
 
-/* The route whose prefix is the longest that begins a path. */
+/* Finds the route with the longest prefix of the path. */
 static const struct comet_route *
-longest_of(const struct host *host, const char *path)
+find_longest_prefix(const struct host_routes *host, const char *path)
 {
 	size_t length = strlen(path);
-	char *begin = g_strndup(path, length);
+	char *prefix = g_strndup(path, length);
 	const struct comet_route *route = NULL;
 
-	for (guint i = 0; i < host->lengths->len && route == NULL; i++)
+	for (guint i = 0; i < host->prefix_lengths->len && route == NULL; i++)
 	{
-		size_t prefix = g_array_index(host->lengths, size_t, i);
-		if (prefix > length)
+		size_t prefix_length = g_array_index(host->prefix_lengths, size_t, i);
+		if (prefix_length > length)
 			continue;
-		begin[prefix] = '\0';
-		route = g_hash_table_lookup(host->prefixes, begin);
+		prefix[prefix_length] = '\0';
+		route = g_hash_table_lookup(host->prefixes, prefix);
 	}
-	g_free(begin);
+	g_free(prefix);
 	return route;
 }
 
@@ -200,10 +203,10 @@
 comet_route_table_find(const struct comet_route_table *table, const char *host, const char *path)
 {
 	char *name = g_ascii_strdown(host, (gssize)strcspn(host, ":"));
-	const struct host *entry = g_hash_table_lookup(table->hosts, name);
+	const struct host_routes *entry = g_hash_table_lookup(table->hosts, name);
 
 	g_free(name);
-	return entry != NULL ? longest_of(entry, path) : NULL;
+	return entry != NULL ? find_longest_prefix(entry, path) : NULL;
 }
 
 const struct comet_route_team *
@@ -222,27 +225,27 @@
 comet_route_table_each_team(const struct comet_route_table *table,
 	void (*visit)(void *ctx, const struct comet_route_team *team), void *ctx)
 {
-	GHashTableIter at;
+	GHashTableIter iter;
 	gpointer team = NULL;
 
-	g_hash_table_iter_init(&at, table->teams);
-	while (g_hash_table_iter_next(&at, NULL, &team))
+	g_hash_table_iter_init(&iter, table->teams);
+	while (g_hash_table_iter_next(&iter, NULL, &team))
 		visit(ctx, team);
 }
 
 const char *
 comet_route_pick_service(const struct comet_route *route, uint32_t draw)
 {
-	uint64_t sum = 0;
+	uint64_t total_weight = 0;
 
 	for (uint32_t i = 0; i < route->n_shares; i++)
-		sum += route->shares[i].weight;
-	uint64_t mark = (uint64_t)draw * sum >> 32;
+		total_weight += route->shares[i].weight;
+	uint64_t offset = (uint64_t)draw * total_weight >> 32;
 	for (uint32_t i = 0; i < route->n_shares; i++)
 	{
-		if (mark < route->shares[i].weight)
+		if (offset < route->shares[i].weight)
 			return route->shares[i].service;
-		mark -= route->shares[i].weight;
+		offset -= route->shares[i].weight;
 	}
 	return route->n_shares > 0 ? route->shares[0].service : NULL;
 }
