--- a/tests/unit/placement_fixture.h
+++ b/tests/unit/placement_fixture.h
@@ -1,6 +1,7 @@
 /*
  * placement_fixture.h
- * a placement over endpoints of one service, under virtual time
+ * Test fixture with a placement over the endpoints of one service, under
+ * virtual time.
  */
 #ifndef COMETSPINDLE_TESTS_PLACEMENT_FIXTURE_H
 #define COMETSPINDLE_TESTS_PLACEMENT_FIXTURE_H
@@ -23,7 +24,7 @@
 	comet_placement_item *item;
 };
 
-/* A placement with one service of two-slot instances. */
+/* Fixture with one service, "llm", whose instances have two slots each. */
 class PlacementTest : public ::testing::Test
 {
       public:
--- a/tests/unit/test_gateway_in_time.cc
+++ b/tests/unit/test_gateway_in_time.cc
@@ -1,6 +1,7 @@
 /*
  * test_gateway_in_time.cc
- * requests whose answer should begin by some time: where they go, and in which order
+ * Tests of placement with soft deadlines: the choice of endpoints and the
+ * order of service.
  */
 #include "grants_fleet.h"
 #include "placement_fixture.h"
@@ -8,12 +9,12 @@
 namespace
 {
 
-class InTimeTest : public PlacementTest
+class SoftDeadlineTest : public PlacementTest
 {
       protected:
-	/* Its answer should begin by then. */
+	/* An item whose answer should begin soft_deadline_us from now. */
 	comet_placement_item
-	aimed(uint32_t rank, uint64_t soft_deadline_us)
+	item_with_soft_deadline(uint32_t rank, uint64_t soft_deadline_us)
 	{
 		comet_placement_item one = item(rank);
 		one.dispatch_deadline_us = now_us + 20000000;
@@ -21,9 +22,9 @@
 		return one;
 	}
 
-	/* An endpoint that takes so many times the usual time. */
+	/* Adds an endpoint with a latency relative to the typical one. */
 	comet_instance *
-	add_paced(const char *id, double pace)
+	add_with_latency(const char *id, double pace)
 	{
 		comet_instance *instance = add(id);
 		instance->pace = pace;
@@ -31,23 +32,24 @@
 	}
 
 	void
-	fill(std::vector<comet_placement_item> &items)
+	submit_all(std::vector<comet_placement_item> &items)
 	{
 		for (auto &one : items)
 			comet_placement_submit(placement, &one, now_us);
 	}
 };
 
-/* In a queue in order of arrival alone, all are late as soon as one is. */
-TEST_F(InTimeTest, WhoCanStillBeInTimeGoesFirstWithinARank)
+/* If requests were served in order of arrival only, one late request would make all later ones
+ * late. */
+TEST_F(SoftDeadlineTest, RequestsInTimeAreServedFirstWithinARank)
 {
 	add("a");
 	std::vector<comet_placement_item> running(2, item(2));
-	fill(running);
-	comet_placement_item old = aimed(2, 300000);
-	comet_placement_submit(placement, &old, now_us);
-	now_us += 250000; /* a first event takes 130 ms where nothing waits */
-	comet_placement_item fresh = aimed(2, 300000);
+	submit_all(running);
+	comet_placement_item late = item_with_soft_deadline(2, 300000);
+	comet_placement_submit(placement, &late, now_us);
+	now_us += 250000; /* the first event takes 130 ms without waiting */
+	comet_placement_item fresh = item_with_soft_deadline(2, 300000);
 	comet_placement_submit(placement, &fresh, now_us);
 	end(dispatched[0], COMET_DISPATCH_CANCELLED);
 	comet_placement_run(placement, now_us);
@@ -56,18 +58,18 @@
 	end(dispatched[1], COMET_DISPATCH_CANCELLED);
 	comet_placement_run(placement, now_us);
 	ASSERT_EQ(dispatched.size(), 4U);
-	EXPECT_EQ(dispatched[3].item, &old) << "late, and served all the same";
+	EXPECT_EQ(dispatched[3].item, &late) << "a late request is still served";
 }
 
-TEST_F(InTimeTest, ALateRequestStillGoesBeforeLessUrgentOnes)
+TEST_F(SoftDeadlineTest, ALateRequestIsServedBeforeLessUrgentOnes)
 {
 	add("a");
 	std::vector<comet_placement_item> running(4, item(0));
-	fill(running);
-	comet_placement_item urgent = aimed(0, 300000);
+	submit_all(running);
+	comet_placement_item urgent = item_with_soft_deadline(0, 300000);
 	comet_placement_submit(placement, &urgent, now_us);
 	now_us += 250000;
-	comet_placement_item fresh = aimed(2, 300000);
+	comet_placement_item fresh = item_with_soft_deadline(2, 300000);
 	comet_placement_submit(placement, &fresh, now_us);
 	for (int i = 0; i < 3; i++)
 		end(dispatched[i], COMET_DISPATCH_CANCELLED);
@@ -76,40 +78,43 @@
 	EXPECT_EQ(dispatched[4].item, &urgent);
 }
 
-/* Engines of one service differ fivefold: a long prompt is late on a slow one for sure. */
-TEST_F(InTimeTest, ASlowEndpointIsLeftAloneWhileAFastOneWouldBeInTime)
+/* The engines of one service differ in speed by up to a factor of five, so an answer to a long
+ * prompt is always late on a slow one. */
+TEST_F(SoftDeadlineTest, ASlowEndpointIsNotUsedWhileAFullFastOneMeetsTheDeadline)
 {
-	add_paced("fast", 1);
-	add_paced("slow", 5);
-	std::vector<comet_placement_item> running(2, aimed(2, 600000));
-	fill(running);
+	add_with_latency("fast", 1);
+	add_with_latency("slow", 5);
+	std::vector<comet_placement_item> running(2, item_with_soft_deadline(2, 600000));
+	submit_all(running);
 	ASSERT_EQ(dispatched.size(), 2U);
 	EXPECT_EQ(dispatched[0].instance, "fast");
 	EXPECT_EQ(dispatched[1].instance, "fast");
-	comet_placement_item one = aimed(2, 600000);
+	comet_placement_item one = item_with_soft_deadline(2, 600000);
 	comet_placement_submit(placement, &one, now_us);
-	EXPECT_EQ(dispatched.size(), 2U) << "250 ms for a slot and 130 ms there: worth the wait";
+	EXPECT_EQ(dispatched.size(), 2U)
+		<< "250 ms for a slot and 130 ms to the first event meet the deadline";
 	EXPECT_EQ(waiting("llm"), 1U);
 	now_us += 480000;
 	comet_placement_run(placement, now_us);
-	ASSERT_EQ(dispatched.size(), 3U) << "late wherever it goes: the slow one will do";
+	ASSERT_EQ(dispatched.size(), 3U) << "late on either endpoint, so the slow one is used";
 	EXPECT_EQ(dispatched[2].instance, "slow");
 }
 
-TEST_F(InTimeTest, WhatWaitsForAFastEndpointHoldsUpNobodyElse)
+TEST_F(SoftDeadlineTest, ARequestDeferredToAFastEndpointDoesNotBlockOthers)
 {
-	add_paced("fast", 1);
-	add_paced("slow", 5);
-	std::vector<comet_placement_item> running(2, aimed(2, 600000));
-	fill(running);
-	comet_placement_item large = aimed(1, 1500000);
-	large.job.prompt_tokens = 10000; /* 400 ms until it begins, 2,000 on the slow one */
+	add_with_latency("fast", 1);
+	add_with_latency("slow", 5);
+	std::vector<comet_placement_item> running(2, item_with_soft_deadline(2, 600000));
+	submit_all(running);
+	comet_placement_item large = item_with_soft_deadline(1, 1500000);
+	large.job.prompt_tokens = 10000; /* the first event takes 400 ms on the fast endpoint and
+					    2,000 ms on the slow one */
 	comet_placement_submit(placement, &large, now_us);
-	EXPECT_EQ(dispatched.size(), 3U) << "a more urgent rank may wait at the fast one";
-	comet_placement_item larger = aimed(1, 1500000);
+	EXPECT_EQ(dispatched.size(), 3U) << "a more urgent rank may queue at the fast endpoint";
+	comet_placement_item larger = item_with_soft_deadline(1, 1500000);
 	larger.job.prompt_tokens = 10000;
 	comet_placement_submit(placement, &larger, now_us);
-	comet_placement_item small = aimed(2, 700000);
+	comet_placement_item small = item_with_soft_deadline(2, 700000);
 	comet_placement_submit(placement, &small, now_us);
 	ASSERT_EQ(dispatched.size(), 4U);
 	EXPECT_EQ(dispatched[3].item, &small);
@@ -117,17 +122,17 @@
 	EXPECT_EQ(waiting("llm"), 1U);
 }
 
-TEST_F(InTimeTest, WhereNobodyIsFastEnoughNothingWaits)
+TEST_F(SoftDeadlineTest, ARequestIsNotDeferredIfNoEndpointMeetsTheDeadline)
 {
-	add_paced("a", 5);
-	add_paced("b", 5);
-	comet_placement_item one = aimed(2, 300000);
+	add_with_latency("a", 5);
+	add_with_latency("b", 5);
+	comet_placement_item one = item_with_soft_deadline(2, 300000);
 	comet_placement_submit(placement, &one, now_us);
 	EXPECT_EQ(dispatched.size(), 1U);
 }
 
-/* A keeper knows how fast its endpoints are, and an asker how late its request is. */
-TEST(InTime, AKeeperHoldsBackASlowSlotUntilTheRequestIsLateAnyway)
+/* The owner knows the latency of its endpoints, and the slot request carries the soft deadline. */
+TEST(SoftDeadline, AnOwnerDefersASlowSlotUntilTheRequestIsLate)
 {
 	grants_fleet::fleet all(5, 2);
 	uint32_t keeper = all.keeper_of_all(1);
@@ -143,7 +148,8 @@
 	EXPECT_EQ(all.vms[asker].sent.count(item), 0U);
 	comet_placement_item *other = all.submit(asker, 2);
 	all.pass(20000);
-	EXPECT_EQ(all.vms[asker].sent[other], "i1") << "no matter when it begins";
+	EXPECT_EQ(all.vms[asker].sent[other], "i1")
+		<< "a request without a soft deadline takes the slow slot";
 	all.pass(500000);
 	EXPECT_EQ(all.vms[asker].sent[item], "i1");
 }
