--- a/tests/unit/test_gateway_waits.cc
+++ b/tests/unit/test_gateway_waits.cc
@@ -1,6 +1,7 @@
 /*
  * test_gateway_waits.cc
- * requests of several VMs that wait for slots at the VM that keeps count of them
+ * Tests of requests of several VMs that wait at the owner of a shard for its
+ * slots.
  */
 #include "grants_fleet.h"
 #include "placement_fixture.h"
@@ -12,14 +13,14 @@
 using grants_fleet::mail;
 using grants_fleet::slots;
 
-/* Some VMs that are not the keeper. */
-struct askers
+/* The owner of the shard and two VMs that request slots from it. */
+struct requesters
 {
 	uint32_t keeper;
 	uint32_t first;
 	uint32_t second;
 
-	explicit askers(fleet &all) : keeper(all.keeper_of_all(1))
+	explicit requesters(fleet &all) : keeper(all.keeper_of_all(1))
 	{
 		first = keeper == 1 ? 2 : 1;
 		second = keeper == 3 ? 2 : 3;
@@ -27,7 +28,7 @@
 };
 
 std::vector<comet_placement_item *>
-fill(fleet &all, uint32_t vm, uint32_t count)
+fill_slots(fleet &all, uint32_t vm, uint32_t count)
 {
 	std::vector<comet_placement_item *> items;
 	for (uint32_t i = 0; i < count; i++)
@@ -37,38 +38,41 @@
 	return items;
 }
 
-/* VMs that ask again and again get a slot by chance, whoever is more urgent. */
-TEST(Waits, AFreedSlotGoesToTheMostUrgentOfAllVms)
+/* If VMs repeated their slot requests instead of waiting at the owner, a slot would go to the VM
+ * that asks first after it becomes free, whatever the rank. */
+TEST(RemoteWaiters, AFreeSlotIsGrantedToTheMostUrgentRequestOfAllVms)
 {
 	fleet all(4, 1);
-	askers vms(all);
-	auto running = fill(all, vms.first, slots);
+	requesters vms(all);
+	auto running = fill_slots(all, vms.first, slots);
 	comet_placement_item *own = all.submit(vms.keeper, 4);
-	comet_placement_item *lesser = all.submit(vms.first, 3);
+	comet_placement_item *less_urgent = all.submit(vms.first, 3);
 	all.pass(50000);
 	comet_placement_item *urgent = all.submit(vms.second, 2);
 	all.pass(50000);
 	EXPECT_EQ(all.total(), slots);
 	all.end(vms.first, running[0]);
 	all.deliver();
-	EXPECT_EQ(all.vms[vms.second].sent.count(urgent), 1U) << "at once, without asking again";
+	EXPECT_EQ(all.vms[vms.second].sent.count(urgent), 1U)
+		<< "granted at once, without another slot request";
 	EXPECT_EQ(all.total(), slots);
 	all.end(vms.first, running[1]);
 	all.deliver();
-	EXPECT_EQ(all.vms[vms.first].sent.count(lesser), 1U);
+	EXPECT_EQ(all.vms[vms.first].sent.count(less_urgent), 1U);
 	all.end(vms.first, running[2]);
 	all.deliver();
-	EXPECT_EQ(all.vms[vms.keeper].sent.count(own), 1U) << "the keeper's own come in turn";
+	EXPECT_EQ(all.vms[vms.keeper].sent.count(own), 1U)
+		<< "requests of the owner are served in the same order";
 	EXPECT_EQ(all.most_at_one(), slots);
 }
 
-TEST(Waits, AmongEqualsThoseInTimeGoFirstWhateverTheirVm)
+TEST(RemoteWaiters, RequestsInTimeAreGrantedFirstWithinARankOfAllVms)
 {
 	fleet all(4, 1);
-	askers vms(all);
-	auto running = fill(all, vms.first, slots);
+	requesters vms(all);
+	auto running = fill_slots(all, vms.first, slots);
 	comet_placement_item *late = all.submit(vms.first, 2, 300000);
-	all.pass(250000); /* a first event takes 130 ms */
+	all.pass(250000); /* the first event takes 130 ms */
 	comet_placement_item *fresh = all.submit(vms.second, 2, 2000000);
 	all.pass(50000);
 	all.end(vms.first, running[0]);
@@ -80,41 +84,41 @@
 	EXPECT_EQ(all.vms[vms.first].sent.count(late), 1U);
 }
 
-TEST(Waits, AKeeperThatDiesCostsTheWaitOnly)
+TEST(RemoteWaiters, ARequestIsPlacedByGossipAfterItsOwnerFails)
 {
 	fleet all(4, 1);
-	askers vms(all);
-	auto running = fill(all, vms.first, slots);
+	requesters vms(all);
+	auto running = fill_slots(all, vms.first, slots);
 	comet_placement_item *item = all.submit(vms.second);
 	all.pass(50000);
 	EXPECT_TRUE(item->asking);
 	all.lost = [&](const mail &one) { return one.to == vms.keeper || one.from == vms.keeper; };
 	all.end(vms.first, running[0]);
 	all.pass(500000);
-	EXPECT_EQ(all.vms[vms.second].sent.count(item), 1U) << "placed by views";
+	EXPECT_EQ(all.vms[vms.second].sent.count(item), 1U) << "placed by gossip";
 	EXPECT_EQ(all.vms[vms.second].dispatches[item], 1);
 }
 
-TEST(Waits, WhoLeavesWhileWaitingTakesNoSlot)
+TEST(RemoteWaiters, ACancelledRequestTakesNoSlot)
 {
 	fleet all(4, 1);
-	askers vms(all);
-	auto running = fill(all, vms.first, slots);
-	comet_placement_item *leaver = all.submit(vms.second);
+	requesters vms(all);
+	auto running = fill_slots(all, vms.first, slots);
+	comet_placement_item *cancelled = all.submit(vms.second);
 	all.pass(50000);
 	comet_placement_item *next = all.submit(vms.keeper);
-	comet_placement_cancel(all.vms[vms.second].placement, leaver);
+	comet_placement_cancel(all.vms[vms.second].placement, cancelled);
 	all.end(vms.first, running[0]);
 	all.pass(20000);
 	EXPECT_EQ(all.vms[vms.second].sent.size(), 0U);
-	EXPECT_EQ(all.vms[vms.keeper].sent.count(next), 1U) << "the slot came back";
+	EXPECT_EQ(all.vms[vms.keeper].sent.count(next), 1U) << "the granted slot was released";
 }
 
-TEST(Waits, ARequestThatMayNotWaitLongerIsRefusedAndItsGrantGivenBack)
+TEST(RemoteWaiters, AnExpiredRequestIsRefusedAndItsGrantReleased)
 {
 	fleet all(4, 1);
-	askers vms(all);
-	auto running = fill(all, vms.first, slots);
+	requesters vms(all);
+	auto running = fill_slots(all, vms.first, slots);
 	comet_placement_item *item = all.submit(vms.second);
 	item->dispatch_deadline_us = all.now_us + 100000;
 	all.pass(150000);
@@ -123,46 +127,47 @@
 	all.end(vms.first, running[0]);
 	all.pass(50000);
 	EXPECT_TRUE(all.vms[vms.second].sent.empty());
-	const comet_instance *kept = comet_instances_find(all.vms[vms.keeper].instances, "i0");
-	EXPECT_EQ(kept->own + kept->others, slots - 1);
+	const comet_instance *instance = comet_instances_find(all.vms[vms.keeper].instances, "i0");
+	EXPECT_EQ(instance->own + instance->others, slots - 1);
 }
 
-/* Found on a hunted day: whether a keeper is to be asked changed between two looks, a request asked
- * at two, and was sent twice. */
-struct two_keepers
+/* Guards against two pending slot requests of one request, which was then sent twice. The owner of
+ * the shard changed between two lookups in one placement, so the request asked two owners. */
+struct request_log
 {
-	uint32_t crash_checks = 0;
+	uint32_t owner_lookups = 0;
 	uint32_t open = 0;
-	uint32_t most_open = 0;
+	uint32_t max_open = 0;
 	uint32_t dispatches = 0;
 	comet_slot_request last = {};
 };
 
-TEST(Waits, ARequestAsksOneKeeperAtATime)
+TEST(RemoteWaiters, ARequestHasOneSlotRequestAtATime)
 {
 	static const comet_placement_ops ops = {
 		[](void *ctx, comet_placement_item *, comet_instance *instance)
 		{
-			static_cast<two_keepers *>(ctx)->dispatches++;
+			static_cast<request_log *>(ctx)->dispatches++;
 			instance->own++;
 		},
 		[](void *, comet_placement_item *, uint32_t) {},
 		[](void *ctx, comet_shard *)
 		{
-			uint32_t look = static_cast<two_keepers *>(ctx)->crash_checks++;
-			return look % 3 == 0 ? COMET_PLACEMENT_OWNER_SELF
-					     : COMET_PLACEMENT_OWNER_OTHER;
+			uint32_t lookup = static_cast<request_log *>(ctx)->owner_lookups++;
+			return lookup % 3 == 0 ? COMET_PLACEMENT_OWNER_SELF
+					       : COMET_PLACEMENT_OWNER_OTHER;
 		},
-		[](void *ctx, comet_placement_item *, comet_shard *, const comet_slot_request *ask)
+		[](void *ctx, comet_placement_item *, comet_shard *,
+			const comet_slot_request *request)
 		{
-			auto *one = static_cast<two_keepers *>(ctx);
-			one->last = *ask;
-			one->most_open = std::max(one->most_open, ++one->open);
+			auto *one = static_cast<request_log *>(ctx);
+			one->last = *request;
+			one->max_open = std::max(one->max_open, ++one->open);
 		},
-		[](void *ctx, comet_placement_item *) { static_cast<two_keepers *>(ctx)->open--; },
+		[](void *ctx, comet_placement_item *) { static_cast<request_log *>(ctx)->open--; },
 		[](void *, const comet_slot_request *, comet_instance *) {},
 	};
-	two_keepers one;
+	request_log one;
 	comet_instances *instances = comet_instances_create(nullptr, "a");
 	for (const char *zone : {"a", "b", "c"})
 	{
@@ -173,7 +178,7 @@
 	comet_placement_item item = {};
 	item.service = "llm";
 	item.job = {1000, 100, 100, true};
-	item.route_rank = 2; /* it takes no place beyond the slots */
+	item.route_rank = 2; /* this rank does not queue at endpoints */
 	item.dispatch_deadline_us = 60000000;
 	uint64_t now_us = 1000000;
 	comet_placement_submit(placement, &item, now_us);
@@ -189,14 +194,15 @@
 		else
 			comet_placement_denied(placement, &item, one.last.shard, 0, now_us);
 	}
-	EXPECT_EQ(one.most_open, 1U);
+	EXPECT_EQ(one.max_open, 1U);
 	EXPECT_EQ(one.dispatches, 0U);
 	uint32_t key = comet_instances_find(instances, "a")->key;
 	for (int i = 0; i < 200 && !item.asking; i++)
 		comet_placement_run(placement, now_us += 20000);
 	ASSERT_TRUE(item.asking);
 	EXPECT_TRUE(comet_placement_granted(placement, &item, 7, key, now_us));
-	EXPECT_FALSE(comet_placement_granted(placement, &item, 7, key, now_us)) << "one is enough";
+	EXPECT_FALSE(comet_placement_granted(placement, &item, 7, key, now_us))
+		<< "the second grant is not used";
 	EXPECT_EQ(one.dispatches, 1U);
 	talloc_free(instances);
 }
