--- a/tests/unit/test_gateway_placement.cc
+++ b/tests/unit/test_gateway_placement.cc
@@ -1,6 +1,6 @@
 /*
  * test_gateway_placement.cc
- * instances and placement, under virtual time
+ * Tests of instances and of placement, under virtual time.
  */
 #include "placement_fixture.h"
 
@@ -11,7 +11,7 @@
 namespace
 {
 
-TEST_F(PlacementTest, SpreadsOverWhatHasRoomAndPrefersItsZone)
+TEST_F(PlacementTest, UsesAllEndpointsWithRoomInBothZones)
 {
 	add("far", "z2");
 	add("near", "z1");
@@ -27,7 +27,7 @@
 	EXPECT_EQ(count["far"], 2);
 }
 
-TEST_F(PlacementTest, ItsOwnZoneIsPreferredAndOthersAreNotIdle)
+TEST_F(PlacementTest, TheLocalZoneIsPreferredAndOthersAreUsed)
 {
 	std::map<std::string, int> count;
 
@@ -44,7 +44,7 @@
 	EXPECT_GT(count["far"], 0);
 }
 
-TEST_F(PlacementTest, UrgentRanksGoFirstAndHaveHeadroom)
+TEST_F(PlacementTest, UrgentRanksAreServedFirstAndMayQueueAtEndpoints)
 {
 	add("a");
 	std::vector<comet_placement_item> low(4, item(2));
@@ -59,7 +59,7 @@
 	comet_placement_run(placement, now_us);
 	ASSERT_EQ(dispatched.size(), 3U);
 	EXPECT_EQ(dispatched[2].item, &urgent);
-	/* a slot that comes free goes to the next in order, not to a newcomer */
+	/* a free slot goes to the next request in order, not to a new one */
 	end(dispatched[0], COMET_DISPATCH_SERVED);
 	end(dispatched[2], COMET_DISPATCH_SERVED);
 	comet_placement_run(placement, now_us);
@@ -67,14 +67,14 @@
 	EXPECT_EQ(dispatched[3].item, &low[2]);
 }
 
-TEST_F(PlacementTest, RefusesWhatCannotBeInTimeAndTellsWhenToComeBack)
+TEST_F(PlacementTest, RefusesRequestsThatWouldExpireWithARetryTime)
 {
 	add("a");
 	std::vector<comet_placement_item> items(12, item(2));
 
 	for (auto &one : items)
 		comet_placement_submit(placement, &one, now_us);
-	/* two are placed; a queue that would outlast their callers' patience is not built up */
+	/* two are dispatched; no queue builds up in which requests would expire */
 	EXPECT_EQ(dispatched.size(), 2U);
 	EXPECT_GE(refused.size(), 1U);
 	for (auto &one : refused)
@@ -87,9 +87,9 @@
 	EXPECT_EQ(waiting("llm"), 0U);
 }
 
-/* Found by a score: waits reckoned from a request's own size refused most of the largest. */
-/* Found in logs of pgi-tiles, trouble-3: captions waited 2 s in vain, one after the other. */
-TEST_F(PlacementTest, WhatIsPassedOverIsRefusedEarlyWithATrueTime)
+/* Guards against requests of a rank that gets no slots waiting 2 s each, one after the other,
+ * before they are refused. Their expected wait must follow from the dequeue rate of their rank. */
+TEST_F(PlacementTest, RequestsOfARankWithoutSlotsAreRefusedEarly)
 {
 	add("i1");
 	std::vector<comet_placement_item> running(2, item(0));
@@ -99,14 +99,14 @@
 	first.dispatch_deadline_us = now_us + 1800000;
 	comet_placement_submit(placement, &first, now_us);
 	EXPECT_EQ(waiting("llm"), 1U);
-	now_us += 1000000; /* nothing of its rank got a slot in this time */
+	now_us += 1000000; /* no request of this rank got a slot in this time */
 	comet_placement_item second = item(2);
 	second.dispatch_deadline_us = now_us + 1800000;
 	comet_placement_submit(placement, &second, now_us);
 	ASSERT_EQ(refused.size(), 1U);
 	EXPECT_EQ(refused[0].first, &second);
-	EXPECT_GE(refused[0].second, 2000U) << "two intervals of a second";
-	/* slots come free again, one in 100 ms: the next ones may wait */
+	EXPECT_GE(refused[0].second, 2000U) << "two intervals of one second";
+	/* slots become free again, one every 100 ms, so that later requests may wait */
 	for (int i = 0; i < 20; i++)
 	{
 		comet_instance *instance = comet_instances_find(instances, "i1");
@@ -119,9 +119,11 @@
 		later.emplace_back(next);
 		comet_placement_submit(placement, next, now_us);
 	}
-	EXPECT_LE(refused.size(), 8U) << "refused only until the pace is known";
+	EXPECT_LE(refused.size(), 8U) << "refused only until the dequeue rate is known";
 }
 
+/* Guards against refusals of most of the largest requests, whose expected wait was computed from
+ * their own size. */
 TEST_F(PlacementTest, ALargeRequestIsNotRefusedForItsSize)
 {
 	add("a");
@@ -144,7 +146,7 @@
 
 	comet_placement_submit(placement, &one, now_us);
 	EXPECT_EQ(dispatched.size(), 0U);
-	/* nobody serves it: it waits only while a refusal is still cheap */
+	/* no endpoint accepts it: it waits only while a refusal costs its caller little */
 	now_us += 100001;
 	comet_placement_run(placement, now_us);
 	EXPECT_EQ(refused.size(), 1U);
@@ -164,38 +166,39 @@
 	EXPECT_EQ(refused.size(), 1U);
 }
 
-TEST_F(PlacementTest, AnUnreachableInstanceIsAvoidedAndTriedAgain)
+TEST_F(PlacementTest, AnUnreachableInstanceIsEjectedAndProbed)
 {
 	add("a");
 	add("b");
 	comet_placement_item one = item(0);
 	comet_placement_submit(placement, &one, now_us);
-	std::string bad = dispatched[0].instance;
+	std::string unreachable = dispatched[0].instance;
 	end(dispatched[0], COMET_DISPATCH_UNREACHED);
 
 	std::vector<comet_placement_item> items(3, item(0));
 	for (auto &next : items)
 		comet_placement_submit(placement, &next, now_us);
 	for (size_t i = 1; i < dispatched.size(); i++)
-		EXPECT_NE(dispatched[i].instance, bad);
-	/* later one request that may be repeated is its trial, and only one */
+		EXPECT_NE(dispatched[i].instance, unreachable);
+	/* after the ejection exactly one request that may be retried probes the instance */
 	now_us += 1500000;
-	std::vector<comet_placement_item> trials(4, item(0));
+	std::vector<comet_placement_item> probes(4, item(0));
 	size_t before = dispatched.size();
-	for (auto &next : trials)
+	for (auto &next : probes)
 	{
 		next.repeatable = true;
 		comet_placement_submit(placement, &next, now_us);
 	}
-	unsigned int tried = 0;
+	unsigned int n_probes = 0;
 	for (size_t i = before; i < dispatched.size(); i++)
-		tried += dispatched[i].instance == bad;
-	EXPECT_EQ(tried, 1U);
+		n_probes += dispatched[i].instance == unreachable;
+	EXPECT_EQ(n_probes, 1U);
 }
 
-/* Found on a day of the grown fleet: 844 of 2,265 refusals came from addresses that had long been
- * another process's, and most others from the same few full instances, tried again and again. */
-TEST_F(PlacementTest, AReplacedInstanceIsNeverTriedAgainAndAFullOneLater)
+/* Guards against repeated attempts at instances that cannot accept requests: 844 of 2,265 refusals
+ * came from addresses that another process had taken over, and most others from the same few full
+ * instances. */
+TEST_F(PlacementTest, AReplacedInstanceIsNeverRetriedAndAFullOneLater)
 {
 	add("a");
 	comet_placement_item one = item(0);
@@ -215,9 +218,9 @@
 	EXPECT_EQ(dispatched.size(), 2U);
 }
 
-/* Found in the logs of a recorded day: long requests made their endpoints doubted, which others
- * kept from, though they answered everything else. */
-TEST_F(PlacementTest, ASlowRequestDoesNotCondemnItsEndpoint)
+/* Guards against the ejection of an endpoint because of one long request: the other VMs then
+ * avoided it although it answered everything else. */
+TEST_F(PlacementTest, ASlowRequestDoesNotEjectItsEndpoint)
 {
 	comet_instance *instance = add("a");
 
@@ -232,26 +235,27 @@
 	EXPECT_EQ(dispatched.size(), 1U);
 }
 
-TEST_F(PlacementTest, WhatOthersSendThereCounts)
+TEST_F(PlacementTest, LoadIncludesRequestsOfOtherVms)
 {
 	comet_instance *instance = add("a");
 	instance->others = 2;
 	instance->gossip_us = now_us;
 	EXPECT_EQ(comet_instance_load(instance, now_us), 2U);
-	/* fresh word from the endpoint itself goes before, and our own sends since are added */
+	/* a newer report of the endpoint replaces gossip, and requests that this VM sent after it
+	 * are added */
 	comet_instance_load_reported(instance, 5, now_us);
 	comet_request_size job = {10, 10, 10, true};
 	comet_instance_started(instance, &job);
 	EXPECT_EQ(comet_instance_load(instance, now_us + 1), 6U);
-	/* it ages sooner than views do; and old views say nothing either */
+	/* a report expires before gossip does, and stale gossip is ignored as well */
 	EXPECT_EQ(comet_instance_load(instance, now_us + 1000000), 3U);
 	EXPECT_EQ(comet_instance_load(instance, now_us + 60000000), 1U);
 }
 
-/* Another VM's ask told that it may wait for 49 days, and did; so would a million more. Whoever
- * reaches the port can ask. A guest waits no longer than a second, and as many as all VMs that are
- * known may have waiting. */
-TEST_F(PlacementTest, GuestsWaitWithinBounds)
+/* Guards against unbounded remote waiters: a slot request with a wait time of 49 days was accepted,
+ * and so would a million more from anyone who can reach the port. A remote waiter waits at most one
+ * second, and their number is bounded by that of all VMs that may be known. */
+TEST_F(PlacementTest, RemoteWaitersAreBoundedInTimeAndNumber)
 {
 	static int grants;
 	comet_placement_ops ops = {};
@@ -260,34 +264,34 @@
 		instance->own++;
 		grants++;
 	};
-	comet_placement *keeper = comet_placement_create(instances, instances, &ops, this, 1);
+	comet_placement *owner = comet_placement_create(instances, instances, &ops, this, 1);
 	comet_instance *one = add("i-1");
-	comet_slot_request ask = {};
+	comet_slot_request request = {};
 	comet_placement_wait_estimate wait = {};
 	int waiting = 0;
 
 	grants = 0;
-	ask.job = {1000, 100, 100, true};
-	ask.wait_us = 1000ULL * UINT32_MAX;
-	comet_placement_choose_remote(keeper, &ask, now_us, &wait); /* shards are formed */
+	request.job = {1000, 100, 100, true};
+	request.wait_us = 1000ULL * UINT32_MAX;
+	comet_placement_choose_remote(owner, &request, now_us, &wait); /* creates the shards */
 	EXPECT_FALSE(wait.waits);
-	ask.shard = one->shard;
+	request.shard = one->shard;
 	one->own = 2;
 	for (uint64_t number = 1; number <= 10000; number++)
 	{
-		ask.number = number;
-		EXPECT_EQ(comet_placement_choose_remote(keeper, &ask, now_us, &wait), nullptr);
+		request.number = number;
+		EXPECT_EQ(comet_placement_choose_remote(owner, &request, now_us, &wait), nullptr);
 		waiting += wait.waits ? 1 : 0;
 	}
 	EXPECT_EQ(waiting, 8192);
 	now_us += 900000;
 	one->own = 1;
-	comet_placement_run(keeper, now_us);
+	comet_placement_run(owner, now_us);
 	EXPECT_EQ(grants, 1);
 	now_us += 200000;
 	one->own = 1;
 	grants = 0;
-	comet_placement_run(keeper, now_us);
+	comet_placement_run(owner, now_us);
 	EXPECT_EQ(grants, 0);
 }
 
