--- a/tests/unit/test_gateway_routes.cc
+++ b/tests/unit/test_gateway_routes.cc
@@ -1,6 +1,6 @@
 /*
  * test_gateway_routes.cc
- * routes, team limits, the retry budget and header values
+ * Tests of routes, team limits, the retry budget, header values and settings.
  */
 #include <gtest/gtest.h>
 
@@ -60,11 +60,12 @@
 	}
 };
 
-/* Prefixes of any length, the same more than once, against a look through all of them. */
-TEST(Routes, TheLongestPrefixIsFoundAmongAny)
+/* Compares lookups with a linear search over random prefixes of any length, including
+ * duplicates. */
+TEST(Routes, LookupMatchesALinearSearch)
 {
 	std::mt19937 draw(7);
-	auto word = [&draw](size_t most)
+	auto random_path = [&draw](size_t most)
 	{
 		std::string text = "/";
 		for (size_t i = draw() % (most + 1); i > 0; i--)
@@ -78,7 +79,7 @@
 		std::vector<std::string> prefixes;
 		for (int i = 0; i < 30; i++)
 		{
-			prefixes.push_back(word(5));
+			prefixes.push_back(random_path(5));
 			comet_route route = {};
 			comet_route_share share = {const_cast<char *>("svc"), 1};
 			std::string name = std::to_string(i);
@@ -91,7 +92,7 @@
 		}
 		for (int i = 0; i < 100; i++)
 		{
-			std::string path = word(8);
+			std::string path = random_path(8);
 			int best = -1;
 			for (int at = 0; at < 30; at++)
 			{
@@ -125,7 +126,7 @@
 	comet_route_table_unref(builder.table);
 }
 
-TEST(Routes, SharesAreDrawnByWeight)
+TEST(Routes, ServicesAreSelectedByWeight)
 {
 	comet_route_share shares[] = {
 		{const_cast<char *>("big"), 90}, {const_cast<char *>("small"), 10}};
@@ -141,7 +142,7 @@
 	EXPECT_NEAR(small, 100, 1);
 }
 
-TEST(Routes, KeysNameTheirTeam)
+TEST(Routes, AKeyIdentifiesItsTeam)
 {
 	table_builder builder(1);
 	EXPECT_FALSE(comet_route_table_needs_keys(builder.table));
@@ -152,25 +153,25 @@
 	comet_route_table_unref(builder.table);
 }
 
-/* Some VMs that share what they spend, all asked for more than the limit all the time. */
-struct spenders
+/* VMs that share the limit of one team, with more requests at all times than the limit allows. */
+struct limited_vms
 {
 	static const uint64_t step_us = 10000;
-	const uint64_t views_us = 100000;
+	const uint64_t gossip_interval_us = 100000;
 	table_builder builder;
 	uint32_t id = comet_hash_name("t");
 	std::vector<comet_rate_limiter *> all;
-	std::vector<uint64_t> untold;
-	std::vector<uint64_t> by_step; /* spent in each step, over all VMs */
+	std::vector<uint64_t> unreported;
+	std::vector<uint64_t> by_step; /* spent in each step by all VMs */
 
-	spenders(int vms, uint64_t now_us) : builder(1), untold(vms, 0)
+	limited_vms(int vms, uint64_t now_us) : builder(1), unreported(vms, 0)
 	{
 		builder.team("t", "k", 1000, 500);
 		for (int i = 0; i < vms; i++)
-			all.push_back(start(now_us));
+			all.push_back(create_rate_limiter(now_us));
 	}
 
-	~spenders()
+	~limited_vms()
 	{
 		for (comet_rate_limiter *one : all)
 			talloc_free(one);
@@ -178,7 +179,7 @@
 	}
 
 	comet_rate_limiter *
-	start(uint64_t now_us) const
+	create_rate_limiter(uint64_t now_us) const
 	{
 		comet_rate_limiter_config bounds = {8000, 0.25, 1000};
 		comet_rate_limiter *one = comet_rate_limiter_create(nullptr, &bounds, now_us);
@@ -190,11 +191,11 @@
 	restart(size_t vm, uint64_t now_us)
 	{
 		talloc_free(all[vm]);
-		all[vm] = start(now_us);
+		all[vm] = create_rate_limiter(now_us);
 	}
 
 	void
-	tell(uint64_t now_us)
+	exchange_gossip(uint64_t now_us)
 	{
 		uint64_t recent = 0;
 		auto visit = [](void *ctx, const comet_rate_limiter_report *report)
@@ -210,17 +211,17 @@
 			{
 				if (i != j)
 					comet_rate_limiter_merge_remote(
-						all[j], 1, id, untold[i], now_us);
+						all[j], 1, id, unreported[i], now_us);
 			}
 			if (recent > 0)
 				comet_rate_limiter_merge_total(all[i], id, recent, now_us);
 			comet_rate_limiter_mark_reported(all[i]);
-			untold[i] = 0;
+			unreported[i] = 0;
 		}
 	}
 
 	void
-	run(uint64_t from_us, uint64_t to_us, bool hearing = true)
+	run(uint64_t from_us, uint64_t to_us, bool connected = true)
 	{
 		for (uint64_t now = from_us; now < to_us; now += step_us)
 		{
@@ -228,23 +229,23 @@
 			for (size_t i = 0; i < all.size(); i++)
 			{
 				comet_rate_limiter_set_vms(all[i],
-					hearing ? (uint32_t)all.size() : 1, (uint32_t)all.size(),
+					connected ? (uint32_t)all.size() : 1, (uint32_t)all.size(),
 					0);
 				while (comet_rate_limiter_spend(all[i], id, 0, 20,
 					       COMET_RATE_LIMITER_GOSSIP, now) == 0)
 				{
 					by_step.back() += 20;
-					untold[i] += 20;
+					unreported[i] += 20;
 				}
 			}
-			if (hearing && now % views_us == 0)
-				tell(now);
+			if (connected && now % gossip_interval_us == 0)
+				exchange_gossip(now);
 		}
 	}
 
-	/* The most that was spent in any 8 s. */
+	/* The maximum that was spent in any 8 s. */
 	uint64_t
-	most() const
+	max_in_window() const
 	{
 		uint64_t most = 0;
 		uint64_t sum = 0;
@@ -262,52 +263,52 @@
 const double team_limit = 1000 * 8 + 500;
 const double team_bound = team_limit * 1.25 + 1000;
 
-TEST(Allowance, OneVmGivesTheWholeLimitAndNoMore)
+TEST(Allowance, OneVmAdmitsTheWholeLimitAndNoMore)
 {
-	spenders one(1, 0);
+	limited_vms one(1, 0);
 	one.run(0, 40000000);
-	EXPECT_LE(one.most(), team_bound);
-	EXPECT_GE(one.most(), team_limit);
+	EXPECT_LE(one.max_in_window(), team_bound);
+	EXPECT_GE(one.max_in_window(), team_limit);
 }
 
-TEST(Allowance, VmsThatHearEachOtherKeepTheSum)
+TEST(Allowance, ConnectedVmsKeepTheLimitTogether)
 {
-	spenders nine(9, 0);
+	limited_vms nine(9, 0);
 	nine.run(0, 60000000);
-	EXPECT_LE(nine.most(), team_bound);
-	EXPECT_GE(nine.most(), team_limit * 0.9);
+	EXPECT_LE(nine.max_in_window(), team_bound);
+	EXPECT_GE(nine.max_in_window(), team_limit * 0.9);
 }
 
-TEST(Allowance, VmsCutOffFromEachOtherKeepTheirParts)
+TEST(Allowance, PartitionedVmsKeepTheirShares)
 {
-	spenders nine(9, 0);
+	limited_vms nine(9, 0);
 	nine.run(0, 40000000, false);
-	EXPECT_LE(nine.most(), team_bound);
+	EXPECT_LE(nine.max_in_window(), team_bound);
 }
 
-TEST(Allowance, AVmThatRestartsLearnsWhatWasSpent)
+TEST(Allowance, ARestartedVmLearnsTheUsageFromGossip)
 {
-	spenders two(2, 0);
+	limited_vms two(2, 0);
 	two.run(0, 21000000);
 	two.restart(0, 21000000);
-	two.tell(21000000);
+	two.exchange_gossip(21000000);
 	two.run(21000000, 40000000);
 	/* a restart neither frees what is used up nor blocks what is free */
-	EXPECT_LE(two.most(), team_bound);
+	EXPECT_LE(two.max_in_window(), team_bound);
 	two.by_step.erase(two.by_step.begin(), two.by_step.begin() + 2200);
-	EXPECT_GE(two.most(), team_limit * 0.9);
+	EXPECT_GE(two.max_in_window(), team_limit * 0.9);
 }
 
-TEST(Allowance, WhenAllRestartTheSumStillHolds)
+TEST(Allowance, TheLimitHoldsWhenAllVmsRestart)
 {
-	spenders one(1, 0);
+	limited_vms one(1, 0);
 	one.run(0, 20000000);
 	one.restart(0, 20000000);
 	one.run(20000000, 40000000);
-	EXPECT_LE(one.most(), team_bound * 1.15);
+	EXPECT_LE(one.max_in_window(), team_bound * 1.15);
 }
 
-TEST(Allowance, ARefusalTellsWhenToComeBack)
+TEST(Allowance, ARefusalCarriesTheRetryTime)
 {
 	comet_rate_limiter_config bounds = {8000, 0, 0};
 	table_builder builder(1);
@@ -316,7 +317,8 @@
 	uint32_t id = comet_hash_name("t");
 	comet_rate_limiter_set_teams(rate_limiter, builder.table, 0);
 
-	uint64_t now_us = 20000000; /* a span after its start, nothing is assumed any more */
+	uint64_t now_us = 20000000; /* one window after its start, no usage before the start is
+				       assumed any more */
 	EXPECT_EQ(comet_rate_limiter_spend(
 			  rate_limiter, id, 0, 900, COMET_RATE_LIMITER_GOSSIP, now_us),
 		0U);
@@ -330,7 +332,7 @@
 	EXPECT_EQ(comet_rate_limiter_spend(rate_limiter, id, 0, 50, COMET_RATE_LIMITER_GOSSIP,
 			  now_us + 4000000 + wait_ms * 1000),
 		0U);
-	/* more than the limit goes out of an untouched one */
+	/* a request larger than the limit is admitted if none of the limit is used */
 	EXPECT_EQ(comet_rate_limiter_spend(
 			  rate_limiter, id, 0, 5000, COMET_RATE_LIMITER_GOSSIP, now_us + 60000000),
 		0U);
@@ -341,8 +343,9 @@
 	comet_route_table_unref(builder.table);
 }
 
-/* Found in a log: a limit that fell to a quarter shut its team out for the rest of the span. */
-TEST(Allowance, WhatWasSpentUnderAHigherLimitCountsForAsMuchOfALowerOne)
+/* Guards against a team without admissions for the rest of the window after its limit fell to a
+ * quarter. */
+TEST(Allowance, UsageIsScaledWhenTheLimitIsLowered)
 {
 	comet_rate_limiter_config bounds = {8000, 0, 0};
 	table_builder high(1);
@@ -365,14 +368,15 @@
 		0U);
 	comet_rate_limiter_set_teams(rate_limiter, high.table, 20000000);
 	EXPECT_EQ(comet_rate_limiter_remaining(rate_limiter, id, 20000000), 6000)
-		<< "a rise forgives nothing";
+		<< "raising the limit does not reduce the recorded usage";
 	talloc_free(rate_limiter);
 	comet_route_table_unref(high.table);
 	comet_route_table_unref(low.table);
 }
 
-/* After a start others may be many: one large request shut its team out until all had been told. */
-TEST(Allowance, OneLargeRequestDoesNotStandForTheOthers)
+/* Guards against a team without admissions after one large request. A VM estimates the unreported
+ * usage of other VMs from its own, and after a start there may be many others. */
+TEST(Allowance, TheEstimateForOtherVmsBoundsOneLargeRequest)
 {
 	comet_rate_limiter_config bounds = {8000, 0, 0};
 	table_builder builder(1);
@@ -397,14 +401,14 @@
 		0U);
 	EXPECT_EQ(comet_rate_limiter_remaining(rate_limiter, id, 20000000),
 		9000 - 2420 - 5 * (238 + 20))
-		<< "twice the usual amount of each counts for each of the five others";
+		<< "each of the five other VMs counts with twice the typical amount of a request";
 	talloc_free(rate_limiter);
 	comet_route_table_unref(builder.table);
 }
 
-/* On a calm day a team at its limit lost long urgent requests, of which none fitted any more, and
- * kept small ones of no urgency. */
-TEST(Allowance, LessUrgentRequestsLeaveAPartToMoreUrgentOnes)
+/* Guards against small requests of low urgency using up a limit, so that long urgent requests no
+ * longer fit. */
+TEST(Allowance, APartOfTheLimitIsReservedForUrgentRequests)
 {
 	comet_rate_limiter_config bounds = {8000, 0, 0};
 	table_builder builder(1);
@@ -421,14 +425,14 @@
 	EXPECT_NE(comet_rate_limiter_spend(
 			  rate_limiter, id, 2, 100, COMET_RATE_LIMITER_GOSSIP, now_us),
 		0U)
-		<< "12% are left";
+		<< "12% of the limit are left";
 	EXPECT_NE(comet_rate_limiter_spend(
 			  rate_limiter, id, 7, 100, COMET_RATE_LIMITER_GOSSIP, now_us),
 		0U);
 	EXPECT_EQ(comet_rate_limiter_spend(
 			  rate_limiter, id, 2, 10, COMET_RATE_LIMITER_GOSSIP, now_us),
 		0U)
-		<< "a small one";
+		<< "a small request fits";
 	for (int i = 0; i < 5; i++)
 		EXPECT_EQ(comet_rate_limiter_spend(
 				  rate_limiter, id, 1, 100, COMET_RATE_LIMITER_GOSSIP, now_us),
@@ -436,7 +440,7 @@
 	EXPECT_NE(comet_rate_limiter_spend(
 			  rate_limiter, id, 1, 100, COMET_RATE_LIMITER_GOSSIP, now_us),
 		0U)
-		<< "6% are left";
+		<< "6% of the limit are left";
 	for (int i = 0; i < 6; i++)
 		EXPECT_EQ(comet_rate_limiter_spend(
 				  rate_limiter, id, 0, 100, COMET_RATE_LIMITER_GOSSIP, now_us),
@@ -448,9 +452,10 @@
 	comet_route_table_unref(builder.table);
 }
 
-/* After a restart nine tenths of a limit are assumed to be spent; what is left was less than the
- * part that the least urgent leave, and none of them was served for a span. */
-TEST(Allowance, AfterAStartLessUrgentRequestsAreServedToo)
+/* Guards against refusing all of the least urgent requests for one window after a restart. Nine
+ * tenths of the limit are then assumed to be used, and the rest was smaller than the part that
+ * these requests leave to others. */
+TEST(Allowance, LessUrgentRequestsAreAdmittedAfterAStart)
 {
 	comet_rate_limiter_config bounds = {8000, 0, 0};
 	table_builder builder(1);
@@ -467,12 +472,12 @@
 	EXPECT_NE(comet_rate_limiter_spend(
 			  rate_limiter, id, 2, 200, COMET_RATE_LIMITER_GOSSIP, 20000000),
 		0U)
-		<< "it is a limit still";
+		<< "the limit still applies";
 	talloc_free(rate_limiter);
 	comet_route_table_unref(builder.table);
 }
 
-TEST(Allowance, WhatWasNotRunIsGivenBack)
+TEST(Allowance, ARefundRestoresTheLimit)
 {
 	comet_rate_limiter_config bounds = {8000, 0, 0};
 	table_builder builder(1);
@@ -495,44 +500,44 @@
 	comet_route_table_unref(builder.table);
 }
 
-TEST(RetryBudget, KeepsItsPartOfTheSum)
+TEST(RetryBudget, RetriesStayWithinTheirRatio)
 {
 	comet_retry_budget_config bounds = {0.2, 10000, 90};
 	const int vms = 9;
-	const int firsts = 1000;
-	unsigned int repeats = 0;
+	const int first_attempts = 1000;
+	unsigned int retries = 0;
 
 	for (int vm = 0; vm < vms; vm++)
 	{
 		comet_retry_budget *budget = comet_retry_budget_create(nullptr, &bounds);
 		comet_retry_budget_set_vms(budget, vms);
-		for (int i = 0; i < firsts; i++)
+		for (int i = 0; i < first_attempts; i++)
 		{
 			uint64_t now_us = (uint64_t)i * 10000;
 			comet_retry_budget_first(budget, "s", now_us);
 			while (comet_retry_budget_take(budget, "s", now_us))
-				repeats++;
+				retries++;
 		}
 		talloc_free(budget);
 	}
-	EXPECT_LE(repeats, vms * firsts * 0.2 + 90);
-	EXPECT_GE(repeats, vms * firsts * 0.1);
+	EXPECT_LE(retries, vms * first_attempts * 0.2 + 90);
+	EXPECT_GE(retries, vms * first_attempts * 0.1);
 }
 
-TEST(RetryBudget, AFreshVmHasFew)
+TEST(RetryBudget, ANewVmAllowsFewRetries)
 {
 	comet_retry_budget_config bounds = {0.2, 10000, 58};
 	comet_retry_budget *budget = comet_retry_budget_create(nullptr, &bounds);
-	unsigned int repeats = 0;
+	unsigned int retries = 0;
 
 	comet_retry_budget_set_vms(budget, 32);
 	while (comet_retry_budget_take(budget, "s", 1000))
-		repeats++;
-	EXPECT_LE(repeats, 2U);
+		retries++;
+	EXPECT_LE(retries, 2U);
 	talloc_free(budget);
 }
 
-TEST(WireNames, ValuesAreWholeNumbersOrRefused)
+TEST(HeaderValues, MalformedValuesAreRejected)
 {
 	comet_header_load load = {};
 	uint32_t prompt = 0;
@@ -545,44 +550,44 @@
 	EXPECT_TRUE(comet_header_parse_load("3,0,8", &load));
 	EXPECT_EQ(load.slots, 8U);
 	EXPECT_TRUE(comet_header_parse_ms("6000", &ms));
-	for (const char *bad : {"", "1", "1,", ",1", "1,2,3", "-1,2", "1,x", "99999999999,1"})
-		EXPECT_FALSE(comet_header_parse_tokens(bad, &prompt, &output)) << bad;
-	for (const char *bad : {"", "-5", "1.5", "x", "4294967296"})
-		EXPECT_FALSE(comet_header_parse_ms(bad, &ms)) << bad;
-	for (const char *bad : {"4294967295,1,8", "1,1000001,8", "3,0", "3,0,8,1", "3;0;8"})
-		EXPECT_FALSE(comet_header_parse_load(bad, &load)) << bad;
-	for (const char *good : {"timeout=5", "max=9, Timeout = 5", "timeout=5,max=1"})
+	for (const char *invalid : {"", "1", "1,", ",1", "1,2,3", "-1,2", "1,x", "99999999999,1"})
+		EXPECT_FALSE(comet_header_parse_tokens(invalid, &prompt, &output)) << invalid;
+	for (const char *invalid : {"", "-5", "1.5", "x", "4294967296"})
+		EXPECT_FALSE(comet_header_parse_ms(invalid, &ms)) << invalid;
+	for (const char *invalid : {"4294967295,1,8", "1,1000001,8", "3,0", "3,0,8,1", "3;0;8"})
+		EXPECT_FALSE(comet_header_parse_load(invalid, &load)) << invalid;
+	for (const char *valid : {"timeout=5", "max=9, Timeout = 5", "timeout=5,max=1"})
 	{
-		EXPECT_TRUE(comet_header_parse_keep_alive(good, &ms)) << good;
+		EXPECT_TRUE(comet_header_parse_keep_alive(valid, &ms)) << valid;
 		EXPECT_EQ(ms, 5U);
 	}
-	for (const char *bad : {"", "max=5", "x-timeout=5", "timeout", "timeout=", "timeout=-5",
+	for (const char *invalid : {"", "max=5", "x-timeout=5", "timeout", "timeout=", "timeout=-5",
 		     "timeout=5s", "timeout=1.5", "timeout=99999999999", "timeout=\"5\""})
-		EXPECT_FALSE(comet_header_parse_keep_alive(bad, &ms)) << bad;
+		EXPECT_FALSE(comet_header_parse_keep_alive(invalid, &ms)) << invalid;
 	EXPECT_TRUE(comet_header_parse_seconds("1.25", &ms));
 	EXPECT_EQ(ms, 1250U);
-	for (const char *bad : {"", "-1", " 1", "1s", "nan", "inf", "1e99", "3601"})
-		EXPECT_FALSE(comet_header_parse_seconds(bad, &ms)) << bad;
+	for (const char *invalid : {"", "-1", " 1", "1s", "nan", "inf", "1e99", "3601"})
+		EXPECT_FALSE(comet_header_parse_seconds(invalid, &ms)) << invalid;
 }
 
-TEST(GatewaySettings, AreCheckedWithEveryFault)
+TEST(GatewaySettings, AllErrorsAreReported)
 {
 	GError *error = nullptr;
-	std::string bad =
+	std::string invalid =
 		"{\"gateway\":{\"name\":\"\",\"grace_s\":-1,\"log_level\":\"loud\",\"x\":1}}";
 
-	EXPECT_TRUE(comet_gateway_settings_match(bad.data(), bad.size()));
-	EXPECT_EQ(comet_gateway_settings_parse(bad.data(), bad.size(), &error), nullptr);
+	EXPECT_TRUE(comet_gateway_settings_match(invalid.data(), invalid.size()));
+	EXPECT_EQ(comet_gateway_settings_parse(invalid.data(), invalid.size(), &error), nullptr);
 	for (const char *part : {"gateway.name", "gateway.zone", "gateway.grace_s",
 		     "gateway.log_level", "unknown key \"x\""})
 		EXPECT_NE(strstr(error->message, part), nullptr) << part << "\n" << error->message;
 	g_clear_error(&error);
-	std::string good = "{\"gateway\":{ // ours\n\"name\":\"n\",\"zone\":\"z\","
-			   "\"callers\":\"127.0.0.1:0\",\"readiness\":\"127.0.0.1:0\","
-			   "\"control\":\"127.0.0.1:0\",\"peers\":\"127.0.0.1:0\",\"seeds\":\"\","
-			   "\"directory\":\"127.0.0.1:1\",\"team_slack\":72000.5}}";
+	std::string valid = "{\"gateway\":{ // ours\n\"name\":\"n\",\"zone\":\"z\","
+			    "\"callers\":\"127.0.0.1:0\",\"readiness\":\"127.0.0.1:0\","
+			    "\"control\":\"127.0.0.1:0\",\"peers\":\"127.0.0.1:0\",\"seeds\":\"\","
+			    "\"directory\":\"127.0.0.1:1\",\"team_slack\":72000.5}}";
 	comet_gateway_settings *settings =
-		comet_gateway_settings_parse(good.data(), good.size(), &error);
+		comet_gateway_settings_parse(valid.data(), valid.size(), &error);
 	ASSERT_NE(settings, nullptr) << error->message;
 	EXPECT_EQ(settings->grace_ms, 8000U);
 	EXPECT_EQ(settings->rate_limiter.slack, 72000.5);
