--- a/libcometspindle/gateway/placement/endpoint_picker.c
+++ b/libcometspindle/gateway/placement/endpoint_picker.c
@@ -181,12 +181,12 @@
 	const struct comet_endpoint_picker_scope *scope, const struct comet_instance *instance,
 	uint64_t now_us)
 {
-	if (scope->cold_share == 0 || instance->start_bounds->most_per_s == 0)
+	if (scope->slow_start_share == 0 || instance->start_bounds->most_per_s == 0)
 		return true;
 	double sample =
 		(double)(uint32_t)comet_hash_score(choice->seed, instance->key) / UINT32_MAX;
 	return comet_slow_start_admits(
-		&instance->start, instance->start_bounds, scope->cold_share, sample, now_us);
+		&instance->start, instance->start_bounds, scope->slow_start_share, sample, now_us);
 }
 
 /* Records the picked candidate and its estimates. */
--- a/libcometspindle/gateway/placement/endpoint_picker.h
+++ b/libcometspindle/gateway/placement/endpoint_picker.h
@@ -30,8 +30,8 @@
 	uint32_t beyond; /**< Streams only: requests allowed at an endpoint in excess of its slots.
 			  */
 	bool kept;       /**< Whether this VM is the owner, which has the exact load. */
-	double cold_share; /**< Share of the slow start capacity of an endpoint that this VM may
-			      use; 0: another VM decides on admission. */
+	double slow_start_share;  /**< Share of the slow start capacity of an endpoint that this VM
+			       may  use; 0: another VM decides on admission. */
 	const uint32_t *excluded; /**< Keys of instances that must not be picked. */
 	uint32_t n_excluded;
 };
--- a/libcometspindle/gateway/placement/placement.c
+++ b/libcometspindle/gateway/placement/placement.c
@@ -11,11 +11,11 @@
 
 /* Fraction of the slow start capacity of an endpoint that the owner of its shard uses. During a
  * change of ownership or a network partition two VMs may act as owner. */
-#define COLD_OWNER_SHARE 0.5
+#define SLOW_START_OWNER_SHARE 0.5
 
 /* Fraction that all VMs together use without a grant, because some requests are placed by gossip at
  * any time. */
-#define COLD_OWNERLESS_SHARE 0.25
+#define SLOW_START_OWNERLESS_SHARE 0.25
 
 /* Bounds of the Retry-After time of a refused caller: long enough for a slot to become free, and no
  * longer than a burst lasts. */
@@ -72,8 +72,8 @@
 void
 comet_placement_set_vms(struct comet_placement *placement, uint32_t heard, uint32_t known)
 {
-	placement->owner_share = MIN(COLD_OWNER_SHARE, (double)heard / known);
-	placement->ownerless_share = COLD_OWNERLESS_SHARE / known;
+	placement->owner_share = MIN(SLOW_START_OWNER_SHARE, (double)heard / known);
+	placement->ownerless_share = SLOW_START_OWNERLESS_SHARE / known;
 }
 
 /* Varies the time at random, so that callers that were refused together do not retry together. */
--- a/libcometspindle/gateway/placement/placement_find.c
+++ b/libcometspindle/gateway/placement/placement_find.c
@@ -12,7 +12,7 @@
 	struct comet_endpoint_picker_scope scope = {
 		.instances = comet_instances_for_service(placement->instances, item->service),
 		.beyond = comet_endpoint_picker_queue_limit(item),
-		.cold_share = placement->ownerless_share,
+		.slow_start_share = placement->ownerless_share,
 	};
 
 	return comet_endpoint_picker_pick(
@@ -71,7 +71,7 @@
 
 /* The share of the slow start capacity of the endpoints of a shard that this VM may use. */
 static double
-cold_share_of(const struct comet_placement *placement, enum comet_placement_owner keeper)
+slow_start_share_of(const struct comet_placement *placement, enum comet_placement_owner keeper)
 {
 	switch (keeper)
 	{
@@ -97,7 +97,7 @@
 		.instances = shard->members,
 		.beyond = beyond,
 		.kept = candidate.keeper == COMET_PLACEMENT_OWNER_SELF,
-		.cold_share = cold_share_of(placement, candidate.keeper),
+		.slow_start_share = slow_start_share_of(placement, candidate.keeper),
 	};
 
 	candidate.best = comet_endpoint_picker_pick(
--- a/libcometspindle/gateway/placement/placement_item.h
+++ b/libcometspindle/gateway/placement/placement_item.h
@@ -12,10 +12,10 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Attempts of one request whose endpoints are excluded from further attempts. */
+/** Maximum number of endpoints excluded for one request because of an earlier attempt. */
 #define COMET_PLACEMENT_TRIED_MAX 4
 
-/** Endpoints that one slot request may exclude. */
+/** Maximum number of endpoints that one slot request may exclude. */
 #define COMET_SLOT_REQUEST_EXCEPT_MAX 16
 
 /** A request to be placed; embedded in the structure of its user. */
--- a/libcometspindle/gateway/placement/placement_remote_waiters.c
+++ b/libcometspindle/gateway/placement/placement_remote_waiters.c
@@ -30,7 +30,7 @@
 		.instances = shard->members,
 		.beyond = beyond,
 		.kept = true,
-		.cold_share = placement->owner_share,
+		.slow_start_share = placement->owner_share,
 		.excluded = remote_waiter->excluded,
 		.n_excluded = (uint32_t)remote_waiter->request.n_except,
 	};
