--- a/tests/unit/placement_fixture.h
+++ b/tests/unit/placement_fixture.h
@@ -18,7 +18,7 @@
 #include <talloc.h>
 #include <vector>
 
-struct sent
+struct dispatch_record
 {
 	std::string instance;
 	comet_placement_item *item;
@@ -30,10 +30,10 @@
       public:
 	comet_instances *instances = nullptr;
 	comet_placement *placement = nullptr;
-	std::vector<sent> dispatched;
+	std::vector<dispatch_record> dispatched;
 	std::vector<std::pair<comet_placement_item *, uint32_t>> refused;
 	uint64_t now_us = 1000000;
-	std::vector<std::unique_ptr<comet_placement_item>> later;
+	std::vector<std::unique_ptr<comet_placement_item>> owned_items;
 
       protected:
 	static void
@@ -97,7 +97,7 @@
 	}
 
 	void
-	end(const sent &one, comet_dispatch_result result)
+	end(const dispatch_record &one, comet_dispatch_result result)
 	{
 		comet_instance *instance = comet_instances_find(instances, one.instance.c_str());
 		comet_instance_ended(instance, &one.item->job, false, result, 0, 0, now_us);
--- a/tests/unit/test_gateway_in_time.cc
+++ b/tests/unit/test_gateway_in_time.cc
@@ -136,22 +136,22 @@
 {
 	grants_fleet::fleet all(5, 2);
 	uint32_t keeper = all.keeper_of_all(1);
-	uint32_t asker = keeper == 1 ? 2 : 1;
+	uint32_t requester = keeper == 1 ? 2 : 1;
 	for (auto &one : all.vms)
 		comet_instances_find(one.second.instances, "i1")->pace = 8;
 	for (uint32_t i = 0; i < grants_fleet::slots; i++)
-		all.submit(asker);
+		all.submit(requester);
 	all.pass(20000);
 	ASSERT_EQ(all.running()["i0"], grants_fleet::slots);
-	comet_placement_item *item = all.submit(asker, 2, 600000);
+	comet_placement_item *item = all.submit(requester, 2, 600000);
 	all.pass(100000);
-	EXPECT_EQ(all.vms[asker].sent.count(item), 0U);
-	comet_placement_item *other = all.submit(asker, 2);
+	EXPECT_EQ(all.vms[requester].sent.count(item), 0U);
+	comet_placement_item *other = all.submit(requester, 2);
 	all.pass(20000);
-	EXPECT_EQ(all.vms[asker].sent[other], "i1")
+	EXPECT_EQ(all.vms[requester].sent[other], "i1")
 		<< "a request without a soft deadline takes the slow slot";
 	all.pass(500000);
-	EXPECT_EQ(all.vms[asker].sent[item], "i1");
+	EXPECT_EQ(all.vms[requester].sent[item], "i1");
 }
 
 } // namespace
--- a/tests/unit/test_gateway_placement.cc
+++ b/tests/unit/test_gateway_placement.cc
@@ -116,7 +116,7 @@
 		now_us += 100000;
 		auto *next = new comet_placement_item(item(2));
 		next->dispatch_deadline_us = now_us + 1800000;
-		later.emplace_back(next);
+		owned_items.emplace_back(next);
 		comet_placement_submit(placement, next, now_us);
 	}
 	EXPECT_LE(refused.size(), 8U) << "refused only until the dequeue rate is known";
@@ -218,8 +218,8 @@
 	EXPECT_EQ(dispatched.size(), 2U);
 }
 
-/* Guards against the ejection of an endpoint because of one long request: the other VMs then
- * avoided it although it answered everything else. */
+/* Guards against the ejection of an endpoint because of one long request. The endpoint was then
+ * avoided although it answered all other requests. */
 TEST_F(PlacementTest, ASlowRequestDoesNotEjectItsEndpoint)
 {
 	comet_instance *instance = add("a");
--- a/tests/unit/test_gateway_routes.cc
+++ b/tests/unit/test_gateway_routes.cc
@@ -65,10 +65,10 @@
 TEST(Routes, LookupMatchesALinearSearch)
 {
 	std::mt19937 draw(7);
-	auto random_path = [&draw](size_t most)
+	auto random_path = [&draw](size_t max_length)
 	{
 		std::string text = "/";
-		for (size_t i = draw() % (most + 1); i > 0; i--)
+		for (size_t i = draw() % (max_length + 1); i > 0; i--)
 			text += "ab/"[draw() % 3];
 		return text;
 	};
