--- a/libcometspindle/gateway/placement/endpoint_picker.c
+++ b/libcometspindle/gateway/placement/endpoint_picker.c
@@ -31,8 +31,8 @@
 /* Cost of each second by which an answer would miss its deadline, in seconds of waiting. */
 #define LATENESS_WEIGHT 2.0
 
-/* Cost of an endpoint in another availability zone: a round trip and the traffic
- * between zones. */
+/* Cost of an endpoint in another availability zone: a round trip and the traffic between
+ * zones. */
 #define CROSS_ZONE_COST_US 4000
 
 /* Costs based on gossip are raised at random by up to this fraction. VMs with the same gossip would
