--- a/libcometspindle/gateway/admission/rate_limiter.c
+++ b/libcometspindle/gateway/admission/rate_limiter.c
@@ -1,6 +1,6 @@
 /*
  * rate_limiter.c
- * what each team may still spend, summed over all VMs without shared state
+ * limits on the spending of each team, summed over all VMs without shared state
  */
 #include <libcometspindle/gateway/admission/rate_limiter.h>
 
@@ -8,391 +8,400 @@
 #include <string.h>
 #include <talloc.h>
 
-/* A span is kept in so many parts, and one more: the newest has only begun, and what was spent in a
- * part comes free at once, so that fewer would cover less than a span. */
-#define SPAN_PARTS 16
-#define PARTS (SPAN_PARTS + 1)
-
-/* Part of the permitted excess that is used. The rest covers what other VMs spend between two
- * views, what waits and is sent later than it was counted, and what a killed VM never told. */
-#define EXCESS_PART 0.4
-
-/* Part of the limit that is taken for spent before this process began, if nobody can tell. When
- * all VMs restart at once, a span around that moment, or around two of them, then holds about the
- * limit. */
-#define ASSUMED_PART 0.9
-
-/* What others spend unseen is taken to be what this VM spends meanwhile, but of one request only so
- * many times its team's usual amount: sizes differ a hundredfold, and the others have not all just
- * sent as large a one, which would shut the team out until all have been told. */
-#define UNSEEN_TIMES_USUAL 2.0
-
-/* Weight of the newest request in a team's usual amount: about the last twenty count. */
-#define USUAL_WEIGHT 0.05
-
-/* A VM that hears nobody still lets pass one request of its team's usual size in a span, if the
- * team had spent no more than this part of its limit: an equal part for each of hundreds of VMs is
- * less than one request. */
-#define QUIET_PART 0.5
-
-/* VMs whose charges are told apart in one account, for those that have not been told yet: five
- * times as many as are designed for. Whoever reaches the port can name any. */
+/* A window is divided into slices. One more is kept, because the newest slice is incomplete and the
+ * amount of a slice expires all at once; fewer slices would cover less than a window. */
+#define WINDOW_SLICES 16
+#define SLICES (WINDOW_SLICES + 1)
+
+/* Fraction of the permitted excess that is used. The rest covers what other VMs spend between two
+ * reports, requests that are sent later than they were counted, and what a killed VM never
+ * reported. */
+#define EXCESS_USED_RATIO 0.4
+
+/* Fraction of the limit that is assumed to be spent before this process started, if no peer knows.
+ * A window around a restart of all VMs, or around two of them, then holds about the limit. */
+#define ASSUMED_SPENT_RATIO 0.9
+
+/* Other VMs are assumed to spend as much between two reports as this VM. A single request counts
+ * for at most this multiple of the team's typical amount: amounts differ a hundredfold, and the
+ * other VMs have not all admitted one as large. Without the cap, a large request would block the
+ * team until all VMs have reported. */
+#define UNREPORTED_MAX_MULTIPLE 2.0
+
+/* Weight of the newest request in the moving average of a team's amounts; about the last twenty
+ * requests count. */
+#define TYPICAL_AMOUNT_WEIGHT 0.05
+
+/* An isolated VM admits one request of the team's typical amount per window if the team had spent
+ * no more than this fraction of its limit. With hundreds of VMs an equal share is less than one
+ * request. */
+#define ISOLATED_SPENT_RATIO_MAX 0.5
+
+/* VMs whose charges are tracked separately per quota until they report them: five times the
+ * designed number of VMs. A sender that reaches the port can claim any VM's address, so the table
+ * needs a limit. */
 #define CHARGED_VMS_MAX 2048
 
-/* Part of the limit that requests leave to those of the next more urgent rank, if they are of their
- * team's usual size or more; small ones leave as much less, since to refuse them frees nothing. */
-#define RESERVE_PART 0.06
+/* Fraction of the limit that a request leaves to the next more urgent rank. A request below the
+ * team's typical amount leaves proportionally less, since rejecting it would free nothing. */
+#define RESERVE_RATIO 0.06
 
-/* Ranks that leave a part, each one more than the rank before. */
-#define RESERVING_RANKS 2
+/* Ranks that leave a reserve, each one more than the rank before. */
+#define RESERVE_RANKS_MAX 2
 
-/* A refusal names at least this time to come back. */
+/* Shortest delay that is returned with a rejection. */
 #define RETRY_AFTER_MIN_MS 200
 
-struct account
-{
-	double limit;          /* over a span; 0: none */
-	double counted[PARTS]; /* what we know to be spent, by part of the span */
-	double own[PARTS];     /* this VM's part of it */
-	double assumed[PARTS]; /* spent before this process began */
-	uint64_t part;         /* number of the newest part */
-	uint64_t spent;        /* by this VM since its start */
-	uint64_t last_us;      /* when it last changed */
-	double usual;          /* amount of a request; 0: none was seen */
-	double untold;       /* by this VM since it last told all others, large requests cut down */
-	bool told;           /* assumed is what another VM told */
-	GHashTable *charged; /* as keeper: VM -> uint64_t, charged and not told by it yet */
+struct quota
+{
+	double limit;                 /* per window; 0: unlimited */
+	double all_spent[SLICES];     /* known spending of all VMs, by slice */
+	double own_spent[SLICES];     /* this VM's part of it */
+	double assumed_spent[SLICES]; /* spending before this process started */
+	uint64_t slice;               /* number of the newest slice */
+	uint64_t own_spent_total;     /* by this VM since its process started */
+	uint64_t last_us;             /* when own_spent_total last increased */
+	double typical_amount; /* moving average of the requests' amounts; 0: no request yet */
+	double unreported;     /* by this VM since its last report, each request capped */
+	bool told;             /* assumed_spent is what another VM reported */
+	GHashTable *charged;   /* owner: VM -> uint64_t, charged and not reported by that VM yet */
 };
 
 struct comet_rate_limiter
 {
-	struct comet_rate_limiter_config bounds;
-	GHashTable *accounts; /* team id -> struct account */
-	uint64_t began_us;
+	struct comet_rate_limiter_config config;
+	GHashTable *quotas; /* team id -> struct quota */
+	uint64_t started_us;
 	uint32_t peak_alive_vms;
 	uint32_t known_vms;
-	uint64_t since_us; /* the first of those that are not heard was heard last then; 0: all are
-			    */
+	/* When the first of the unreachable VMs was last seen; 0: all are alive. */
+	uint64_t partitioned_since_us;
 };
 
 static int
-allowance_destroy(struct comet_rate_limiter *rate_limiter)
+rate_limiter_destroy(struct comet_rate_limiter *rate_limiter)
 {
-	g_hash_table_destroy(rate_limiter->accounts);
+	g_hash_table_destroy(rate_limiter->quotas);
 	return 0;
 }
 
 static void
-free_account(gpointer data)
+free_quota(gpointer data)
 {
-	struct account *account = data;
+	struct quota *quota = data;
 
-	g_hash_table_destroy(account->charged);
-	g_free(account);
+	g_hash_table_destroy(quota->charged);
+	g_free(quota);
 }
 
 struct comet_rate_limiter *
 comet_rate_limiter_create(
-	void *parent, const struct comet_rate_limiter_config *bounds, uint64_t now_us)
+	void *parent, const struct comet_rate_limiter_config *config, uint64_t now_us)
 {
 	struct comet_rate_limiter *rate_limiter = talloc_zero(parent, struct comet_rate_limiter);
 
-	rate_limiter->bounds = *bounds;
+	rate_limiter->config = *config;
 	rate_limiter->peak_alive_vms = 1;
 	rate_limiter->known_vms = 1;
-	rate_limiter->began_us = now_us;
-	rate_limiter->accounts = g_hash_table_new_full(NULL, NULL, NULL, free_account);
-	talloc_set_destructor(rate_limiter, allowance_destroy);
+	rate_limiter->started_us = now_us;
+	rate_limiter->quotas = g_hash_table_new_full(NULL, NULL, NULL, free_quota);
+	talloc_set_destructor(rate_limiter, rate_limiter_destroy);
 	return rate_limiter;
 }
 
-static struct account *
-find(const struct comet_rate_limiter *rate_limiter, uint32_t team_id)
+static struct quota *
+find_quota(const struct comet_rate_limiter *rate_limiter, uint32_t team_id)
 {
-	return g_hash_table_lookup(rate_limiter->accounts, GUINT_TO_POINTER(team_id));
+	return g_hash_table_lookup(rate_limiter->quotas, GUINT_TO_POINTER(team_id));
 }
 
 static uint64_t
-part_us(const struct comet_rate_limiter *rate_limiter)
+slice_us(const struct comet_rate_limiter *rate_limiter)
 {
-	return (uint64_t)rate_limiter->bounds.window_ms * 1000 / SPAN_PARTS;
+	return (uint64_t)rate_limiter->config.window_ms * 1000 / WINDOW_SLICES;
 }
 
-/* Forgets the parts that have left the span. */
+/* Clears the slices that have left the window. */
 static void
-advance(const struct comet_rate_limiter *rate_limiter, struct account *account, uint64_t now_us)
+advance(const struct comet_rate_limiter *rate_limiter, struct quota *quota, uint64_t now_us)
 {
-	uint64_t part = now_us / part_us(rate_limiter);
+	uint64_t slice = now_us / slice_us(rate_limiter);
 
-	if (part <= account->part)
+	if (slice <= quota->slice)
 		return;
-	if (part - account->part >= PARTS)
+	if (slice - quota->slice >= SLICES)
 	{
-		memset(account->counted, 0, sizeof account->counted);
-		memset(account->own, 0, sizeof account->own);
-		memset(account->assumed, 0, sizeof account->assumed);
-		account->part = part;
+		memset(quota->all_spent, 0, sizeof quota->all_spent);
+		memset(quota->own_spent, 0, sizeof quota->own_spent);
+		memset(quota->assumed_spent, 0, sizeof quota->assumed_spent);
+		quota->slice = slice;
 	}
-	while (account->part < part)
+	while (quota->slice < slice)
 	{
-		account->part++;
-		account->counted[account->part % PARTS] = 0;
-		account->own[account->part % PARTS] = 0;
-		account->assumed[account->part % PARTS] = 0;
+		quota->slice++;
+		quota->all_spent[quota->slice % SLICES] = 0;
+		quota->own_spent[quota->slice % SLICES] = 0;
+		quota->assumed_spent[quota->slice % SLICES] = 0;
 	}
 }
 
-/* A team's account as of now, or NULL for a team that is not listed. */
-static struct account *
-account_now(const struct comet_rate_limiter *rate_limiter, uint32_t team_id, uint64_t now_us)
+/* @return the quota of a team with its window advanced to now, or NULL if the team is not
+ * configured */
+static struct quota *
+advance_quota(const struct comet_rate_limiter *rate_limiter, uint32_t team_id, uint64_t now_us)
 {
-	struct account *account = find(rate_limiter, team_id);
+	struct quota *quota = find_quota(rate_limiter, team_id);
 
-	if (account != NULL)
-		advance(rate_limiter, account, now_us);
-	return account;
+	if (quota != NULL)
+		advance(rate_limiter, quota, now_us);
+	return quota;
 }
 
 static double
-sum_of(const double parts[PARTS])
+sum_slices(const double slices[SLICES])
 {
 	double sum = 0;
 
-	for (int i = 0; i < PARTS; i++)
-		sum += parts[i];
+	for (int i = 0; i < SLICES; i++)
+		sum += slices[i];
 	return sum;
 }
 
-/* Parts of the current span that lie before this process began. */
+/* Slices of the current window that lie before the start of this process. */
 static uint64_t
-parts_before(const struct comet_rate_limiter *rate_limiter, const struct account *account)
+slices_before_start(const struct comet_rate_limiter *rate_limiter, const struct quota *quota)
 {
-	uint64_t passed = account->part - rate_limiter->began_us / part_us(rate_limiter);
+	uint64_t elapsed = quota->slice - rate_limiter->started_us / slice_us(rate_limiter);
 
-	return passed >= PARTS ? 0 : PARTS - passed;
+	return elapsed >= SLICES ? 0 : SLICES - elapsed;
 }
 
-/* Spreads an amount over the parts before this process began. */
+/* Spreads an amount over the slices before the start of this process. */
 static void
-assume(const struct comet_rate_limiter *rate_limiter, struct account *account, double amount)
+set_assumed_spent(const struct comet_rate_limiter *rate_limiter, struct quota *quota, double amount)
 {
-	uint64_t parts = parts_before(rate_limiter, account);
+	uint64_t slices = slices_before_start(rate_limiter, quota);
 
-	memset(account->assumed, 0, sizeof account->assumed);
-	for (uint64_t i = 0; i < parts; i++)
+	memset(quota->assumed_spent, 0, sizeof quota->assumed_spent);
+	for (uint64_t i = 0; i < slices; i++)
 	{
-		uint64_t part = account->part + 1 + i; /* the oldest of the span comes first */
-		account->assumed[part % PARTS] = amount / (double)parts;
+		/* The oldest slice of the window follows the newest one in the ring. */
+		uint64_t slice = quota->slice + 1 + i;
+		quota->assumed_spent[slice % SLICES] = amount / (double)slices;
 	}
 }
 
-struct set_teams
+struct team_update
 {
 	struct comet_rate_limiter *rate_limiter;
 	uint64_t now_us;
 };
 
-/* What was spent under a higher limit was permitted: under a lower one it counts for as much of the
- * limit as before, or the team would be shut out for a whole span. */
+/* Scales past spending after a limit was lowered. It was permitted under the higher limit; without
+ * scaling the team would be blocked for a whole window. */
 static void
-scale_past(struct account *account, double factor)
+scale_spent(struct quota *quota, double factor)
 {
-	for (int i = 0; i < PARTS; i++)
+	for (int i = 0; i < SLICES; i++)
 	{
-		account->counted[i] *= factor;
-		account->own[i] *= factor;
-		account->assumed[i] *= factor;
+		quota->all_spent[i] *= factor;
+		quota->own_spent[i] *= factor;
+		quota->assumed_spent[i] *= factor;
 	}
 }
 
 static void
 set_team(void *ctx, const struct comet_route_team *team)
 {
-	struct set_teams *set = ctx;
-	struct comet_rate_limiter *rate_limiter = set->rate_limiter;
-	const struct comet_rate_limiter_config *bounds = &rate_limiter->bounds;
-	struct account *account = find(rate_limiter, team->id);
-	double limit = (double)team->rate_per_s * bounds->window_ms / 1000 + (double)team->burst;
-	/* The slack is told in tokens; for requests only the overage counts. */
-	double excess = bounds->overage * limit + (team->in_tokens ? bounds->slack : 0);
-	bool is_new = account == NULL;
+	struct team_update *update = ctx;
+	struct comet_rate_limiter *rate_limiter = update->rate_limiter;
+	const struct comet_rate_limiter_config *config = &rate_limiter->config;
+	struct quota *quota = find_quota(rate_limiter, team->id);
+	double limit = (double)team->rate_per_s * config->window_ms / 1000 + (double)team->burst;
+	/* The slack is in tokens, so limits in requests only get the overage. */
+	double excess = config->overage * limit + (team->in_tokens ? config->slack : 0);
+	bool is_new = quota == NULL;
 
 	if (is_new)
 	{
-		account = g_new0(struct account, 1);
-		account->part = set->now_us / part_us(rate_limiter);
-		account->charged = g_hash_table_new_full(NULL, NULL, NULL, g_free);
-		g_hash_table_insert(rate_limiter->accounts, GUINT_TO_POINTER(team->id), account);
+		quota = g_new0(struct quota, 1);
+		quota->slice = update->now_us / slice_us(rate_limiter);
+		quota->charged = g_hash_table_new_full(NULL, NULL, NULL, g_free);
+		g_hash_table_insert(rate_limiter->quotas, GUINT_TO_POINTER(team->id), quota);
 	}
-	double before = account->limit;
-	account->limit = team->rate_per_s > 0 ? limit + EXCESS_PART * excess : 0;
-	if (account->limit > 0 && account->limit < before)
-		scale_past(account, account->limit / before);
+	double before = quota->limit;
+	quota->limit = team->rate_per_s > 0 ? limit + EXCESS_USED_RATIO * excess : 0;
+	if (quota->limit > 0 && quota->limit < before)
+		scale_spent(quota, quota->limit / before);
 	if (is_new)
-		assume(rate_limiter, account, ASSUMED_PART * account->limit);
+		set_assumed_spent(rate_limiter, quota, ASSUMED_SPENT_RATIO * quota->limit);
 }
 
 void
 comet_rate_limiter_set_teams(struct comet_rate_limiter *rate_limiter,
 	const struct comet_route_table *table, uint64_t now_us)
 {
-	struct set_teams set = {rate_limiter, now_us};
+	struct team_update update = {rate_limiter, now_us};
 
-	comet_route_table_each_team(table, set_team, &set);
+	comet_route_table_each_team(table, set_team, &update);
 }
 
 void
-comet_rate_limiter_set_vms(
-	struct comet_rate_limiter *rate_limiter, uint32_t heard, uint32_t known, uint64_t since_us)
+comet_rate_limiter_set_vms(struct comet_rate_limiter *rate_limiter, uint32_t heard, uint32_t known,
+	uint64_t partitioned_since_us)
 {
 	rate_limiter->peak_alive_vms = heard;
 	rate_limiter->known_vms = MAX(known, 1);
-	rate_limiter->since_us = since_us;
+	rate_limiter->partitioned_since_us = partitioned_since_us;
 }
 
-/* The part of what is left that belongs to the VMs that we hear. */
+/* Fraction of a limit that belongs to the alive VMs. */
 static double
-heard_part(const struct comet_rate_limiter *rate_limiter)
+alive_share(const struct comet_rate_limiter *rate_limiter)
 {
 	return (double)rate_limiter->peak_alive_vms / rate_limiter->known_vms;
 }
 
-/* What is spent in the current span, as far as we know. */
+/* Known and assumed spending in the current window. */
 static double
-spent_of(const struct account *account)
+spent_in_window(const struct quota *quota)
 {
-	return sum_of(account->counted) + sum_of(account->assumed);
+	return sum_slices(quota->all_spent) + sum_slices(quota->assumed_spent);
 }
 
-/* What of it was spent while all VMs were heard: both sides of a cut know of it. */
+/* The part of it that was spent before the partition, which the VMs on both sides know. */
 static double
-spent_together(const struct comet_rate_limiter *rate_limiter, const struct account *account)
+spent_before_partition(const struct comet_rate_limiter *rate_limiter, const struct quota *quota)
 {
-	uint64_t first = account->part - MIN(account->part, SPAN_PARTS);
-	uint64_t cut = rate_limiter->since_us / part_us(rate_limiter);
+	uint64_t first = quota->slice - MIN(quota->slice, WINDOW_SLICES);
+	uint64_t partition_slice = rate_limiter->partitioned_since_us / slice_us(rate_limiter);
 	double sum = 0;
 
-	for (uint64_t part = first; part <= account->part; part++)
+	for (uint64_t slice = first; slice <= quota->slice; slice++)
 	{
-		if (part < cut)
-			sum += account->counted[part % PARTS] + account->assumed[part % PARTS];
+		if (slice < partition_slice)
+			sum += quota->all_spent[slice % SLICES] +
+			       quota->assumed_spent[slice % SLICES];
 	}
 	return sum;
 }
 
-/* What may still be spent: of what was left when some VMs were last heard, the part of the others,
- * less what these have spent since. */
+/* What may still be spent: the limit's share of the alive VMs, less what was spent. Spending from
+ * before the partition counts only for that share. */
 static double
-left_of(const struct comet_rate_limiter *rate_limiter, const struct account *account,
-	enum comet_rate_limiter_source sight)
+remaining(const struct comet_rate_limiter *rate_limiter, const struct quota *quota,
+	enum comet_rate_limiter_source source)
 {
-	double part = heard_part(rate_limiter);
-	double left = part * account->limit - spent_of(account);
+	double share = alive_share(rate_limiter);
+	double available = share * quota->limit - spent_in_window(quota);
 
-	if (part < 1)
-		left += (1 - part) * spent_together(rate_limiter, account);
-	if (sight == COMET_RATE_LIMITER_GOSSIP)
-		left -= account->untold * (rate_limiter->peak_alive_vms - 1);
-	return left;
+	if (share < 1)
+		available += (1 - share) * spent_before_partition(rate_limiter, quota);
+	if (source == COMET_RATE_LIMITER_GOSSIP)
+		available -= quota->unreported * (rate_limiter->peak_alive_vms - 1);
+	return available;
 }
 
-/* How long until needed is free again, as the parts of the span go by. */
+/* Delay until enough slices have expired for the needed amount. */
 static uint32_t
-wait_ms_for(const struct comet_rate_limiter *rate_limiter, const struct account *account,
-	enum comet_rate_limiter_source sight, double needed)
+compute_wait_ms(const struct comet_rate_limiter *rate_limiter, const struct quota *quota,
+	enum comet_rate_limiter_source source, double needed)
 {
-	double left = left_of(rate_limiter, account, sight);
-	uint64_t parts = 0;
+	double available = remaining(rate_limiter, quota, source);
+	uint64_t slices = 0;
 
-	for (; parts < PARTS && left < needed; parts++)
+	for (; slices < SLICES && available < needed; slices++)
 	{
-		uint64_t part = account->part + 1 + parts;
-		left += account->counted[part % PARTS] + account->assumed[part % PARTS];
+		uint64_t slice = quota->slice + 1 + slices;
+		available +=
+			quota->all_spent[slice % SLICES] + quota->assumed_spent[slice % SLICES];
 	}
-	uint64_t ms = parts * part_us(rate_limiter) / 1000;
+	uint64_t ms = slices * slice_us(rate_limiter) / 1000;
 	return (uint32_t)MAX(ms, RETRY_AFTER_MIN_MS);
 }
 
-/* Part of a request's amount that stands for what the others spend meanwhile. */
+/* The amount of a request that is assumed for each of the other VMs as well. */
 static double
-typical_part(const struct account *account, double amount)
+capped_amount(const struct quota *quota, double amount)
 {
-	return MIN(amount, UNSEEN_TIMES_USUAL * account->usual);
+	return MIN(amount, UNREPORTED_MAX_MULTIPLE * quota->typical_amount);
 }
 
 static void
-learn_usual(struct account *account, double amount)
+update_typical_amount(struct quota *quota, double amount)
 {
-	if (account->usual == 0)
-		account->usual = amount;
-	account->usual += USUAL_WEIGHT * (amount - account->usual);
+	if (quota->typical_amount == 0)
+		quota->typical_amount = amount;
+	quota->typical_amount += TYPICAL_AMOUNT_WEIGHT * (amount - quota->typical_amount);
 }
 
-/* What a request leaves to more urgent ones. What is only assumed to be spent counts as left to
- * them, or after a start nothing else would be served while the assumption lasts. */
+/* Reserve that a request leaves to more urgent ones. Assumed spending counts as part of the
+ * reserve, since after a start only the most urgent requests would be served until the assumption
+ * expires. */
 static double
-reserve_of(const struct comet_rate_limiter *rate_limiter, const struct account *account,
+compute_reserve(const struct comet_rate_limiter *rate_limiter, const struct quota *quota,
 	uint32_t rank, double amount)
 {
-	double size = account->usual > 0 ? MIN(amount / account->usual, 1.0) : 1.0;
-	double part = RESERVE_PART * MIN(rank, RESERVING_RANKS) * size;
+	double relative_amount =
+		quota->typical_amount > 0 ? MIN(amount / quota->typical_amount, 1.0) : 1.0;
+	double ratio = RESERVE_RATIO * MIN(rank, RESERVE_RANKS_MAX) * relative_amount;
 
-	part *= heard_part(rate_limiter);
-	return MAX(part * account->limit - sum_of(account->assumed), 0);
+	ratio *= alive_share(rate_limiter);
+	return MAX(ratio * quota->limit - sum_slices(quota->assumed_spent), 0);
 }
 
-/* Is it the only request in a span of a VM that hears nobody, for a team that was far from its
- * limit? */
+/* Returns whether an isolated VM may admit this request as its only one in a window. The team must
+ * have been far from its limit. */
 static bool
-is_single(
-	const struct comet_rate_limiter *rate_limiter, const struct account *account, double amount)
+is_allowed_isolated(
+	const struct comet_rate_limiter *rate_limiter, const struct quota *quota, double amount)
 {
-	double most = MAX(account->usual, 1);
+	double max_amount = MAX(quota->typical_amount, 1);
 
 	return rate_limiter->peak_alive_vms == 1 && rate_limiter->known_vms > 1 &&
-	       sum_of(account->own) + MIN(amount, most) <= most &&
-	       spent_of(account) <= QUIET_PART * account->limit;
+	       sum_slices(quota->own_spent) + MIN(amount, max_amount) <= max_amount &&
+	       spent_in_window(quota) <= ISOLATED_SPENT_RATIO_MAX * quota->limit;
 }
 
 /* Counts what was spent through this VM. */
 static void
-count_own(struct account *account, uint64_t amount, uint64_t now_us)
+add_own_spent(struct quota *quota, uint64_t amount, uint64_t now_us)
 {
-	learn_usual(account, (double)amount);
-	account->counted[account->part % PARTS] += (double)amount;
-	account->own[account->part % PARTS] += (double)amount;
-	account->untold += typical_part(account, (double)amount);
-	account->spent += amount;
-	account->last_us = now_us;
+	update_typical_amount(quota, (double)amount);
+	quota->all_spent[quota->slice % SLICES] += (double)amount;
+	quota->own_spent[quota->slice % SLICES] += (double)amount;
+	quota->unreported += capped_amount(quota, (double)amount);
+	quota->own_spent_total += amount;
+	quota->last_us = now_us;
 }
 
-/* @return 0 if the team may spend amount, or after how many ms it is worth asking again */
+/* @return 0 if the team may spend amount, or the delay in ms before another attempt may succeed */
 static uint32_t
-decide(const struct comet_rate_limiter *rate_limiter, const struct account *account, uint32_t rank,
-	uint64_t amount, enum comet_rate_limiter_source sight)
+check_limit(const struct comet_rate_limiter *rate_limiter, const struct quota *quota, uint32_t rank,
+	uint64_t amount, enum comet_rate_limiter_source source)
 {
-	if (account->limit <= 0)
+	if (quota->limit <= 0)
 		return 0;
-	/* A request larger than the limit goes out of an untouched one. */
-	double needed = (double)amount + reserve_of(rate_limiter, account, rank, (double)amount);
-	needed = MIN(needed, heard_part(rate_limiter) * account->limit);
-	if (left_of(rate_limiter, account, sight) >= needed ||
-		is_single(rate_limiter, account, (double)amount))
+	/* A request larger than the limit is admitted when the whole limit is free. */
+	double needed = (double)amount + compute_reserve(rate_limiter, quota, rank, (double)amount);
+	needed = MIN(needed, alive_share(rate_limiter) * quota->limit);
+	if (remaining(rate_limiter, quota, source) >= needed ||
+		is_allowed_isolated(rate_limiter, quota, (double)amount))
 		return 0;
-	return wait_ms_for(rate_limiter, account, sight, needed);
+	return compute_wait_ms(rate_limiter, quota, source, needed);
 }
 
 uint32_t
 comet_rate_limiter_spend(struct comet_rate_limiter *rate_limiter, uint32_t team_id, uint32_t rank,
-	uint64_t amount, enum comet_rate_limiter_source sight, uint64_t now_us)
+	uint64_t amount, enum comet_rate_limiter_source source, uint64_t now_us)
 {
-	struct account *account = account_now(rate_limiter, team_id, now_us);
+	struct quota *quota = advance_quota(rate_limiter, team_id, now_us);
 
-	if (account == NULL)
+	if (quota == NULL)
 		return 0;
-	uint32_t wait_ms = decide(rate_limiter, account, rank, amount, sight);
+	uint32_t wait_ms = check_limit(rate_limiter, quota, rank, amount, source);
 	if (wait_ms == 0)
-		count_own(account, amount, now_us);
+		add_own_spent(quota, amount, now_us);
 	return wait_ms;
 }
 
@@ -400,22 +409,22 @@
 comet_rate_limiter_charged(
 	struct comet_rate_limiter *rate_limiter, uint32_t team_id, uint64_t amount, uint64_t now_us)
 {
-	struct account *account = account_now(rate_limiter, team_id, now_us);
+	struct quota *quota = advance_quota(rate_limiter, team_id, now_us);
 
-	if (account != NULL)
-		count_own(account, amount, now_us);
+	if (quota != NULL)
+		add_own_spent(quota, amount, now_us);
 }
 
-/* What a VM was charged here and has not told yet; NULL: too many VMs are told apart. */
+/* What a VM was charged here and has not reported yet; NULL if too many VMs are tracked. */
 static uint64_t *
-charged_of(struct account *account, uint32_t vm)
+find_or_add_charged(struct quota *quota, uint32_t vm)
 {
-	uint64_t *charged = g_hash_table_lookup(account->charged, GUINT_TO_POINTER(vm));
+	uint64_t *charged = g_hash_table_lookup(quota->charged, GUINT_TO_POINTER(vm));
 
-	if (charged == NULL && g_hash_table_size(account->charged) < CHARGED_VMS_MAX)
+	if (charged == NULL && g_hash_table_size(quota->charged) < CHARGED_VMS_MAX)
 	{
 		charged = g_new0(uint64_t, 1);
-		g_hash_table_insert(account->charged, GUINT_TO_POINTER(vm), charged);
+		g_hash_table_insert(quota->charged, GUINT_TO_POINTER(vm), charged);
 	}
 	return charged;
 }
@@ -424,26 +433,26 @@
 comet_rate_limiter_charge_remote(struct comet_rate_limiter *rate_limiter, uint32_t vm,
 	uint32_t team_id, uint32_t rank, uint64_t amount, uint64_t now_us, uint32_t *wait_ms)
 {
-	struct account *account = account_now(rate_limiter, team_id, now_us);
+	struct quota *quota = advance_quota(rate_limiter, team_id, now_us);
 
-	if (account == NULL)
+	if (quota == NULL)
 		return false;
-	*wait_ms = decide(rate_limiter, account, rank, amount, COMET_RATE_LIMITER_OWNER);
+	*wait_ms = check_limit(rate_limiter, quota, rank, amount, COMET_RATE_LIMITER_OWNER);
 	if (*wait_ms != 0)
 		return true;
-	learn_usual(account, (double)amount);
-	account->counted[account->part % PARTS] += (double)amount;
-	uint64_t *charged = charged_of(account, vm);
+	update_typical_amount(quota, (double)amount);
+	quota->all_spent[quota->slice % SLICES] += (double)amount;
+	uint64_t *charged = find_or_add_charged(quota, vm);
 	if (charged != NULL)
 		*charged += amount;
 	return true;
 }
 
-/* Takes what is not counted any more out of the newest part of the span. */
+/* Subtracts a refunded amount from the newest slice. */
 static void
-uncount(struct account *account, uint64_t amount)
+subtract_spent(struct quota *quota, uint64_t amount)
 {
-	double *newest = &account->counted[account->part % PARTS];
+	double *newest = &quota->all_spent[quota->slice % SLICES];
 
 	*newest = MAX(*newest - (double)amount, 0);
 }
@@ -452,105 +461,106 @@
 comet_rate_limiter_refund_remote(struct comet_rate_limiter *rate_limiter, uint32_t vm,
 	uint32_t team_id, uint64_t amount, uint64_t now_us)
 {
-	struct account *account = account_now(rate_limiter, team_id, now_us);
-	uint64_t *charged = account != NULL ? charged_of(account, vm) : NULL;
+	struct quota *quota = advance_quota(rate_limiter, team_id, now_us);
+	uint64_t *charged = quota != NULL ? find_or_add_charged(quota, vm) : NULL;
 
+	/* A VM that has already reported the amount as spent will report the refund itself. */
 	if (charged == NULL || *charged < amount)
-		return; /* its view has told of it as spent, and tells that it was given back */
+		return;
 	*charged -= amount;
-	uncount(account, amount);
+	subtract_spent(quota, amount);
 }
 
 void
 comet_rate_limiter_merge_remote(struct comet_rate_limiter *rate_limiter, uint32_t vm,
 	uint32_t team_id, uint64_t amount, uint64_t now_us)
 {
-	struct account *account = account_now(rate_limiter, team_id, now_us);
+	struct quota *quota = advance_quota(rate_limiter, team_id, now_us);
 
-	if (account == NULL)
+	if (quota == NULL)
 		return;
-	uint64_t *charged = g_hash_table_lookup(account->charged, GUINT_TO_POINTER(vm));
-	uint64_t counted = charged != NULL ? MIN(*charged, amount) : 0;
+	uint64_t *charged = g_hash_table_lookup(quota->charged, GUINT_TO_POINTER(vm));
+	uint64_t already_charged = charged != NULL ? MIN(*charged, amount) : 0;
 	if (charged != NULL)
-		*charged -= counted;
-	account->counted[account->part % PARTS] += (double)(amount - counted);
+		*charged -= already_charged;
+	quota->all_spent[quota->slice % SLICES] += (double)(amount - already_charged);
 }
 
 void
 comet_rate_limiter_vm_restarted(struct comet_rate_limiter *rate_limiter, uint32_t vm)
 {
-	GHashTableIter at;
-	gpointer account = NULL;
+	GHashTableIter iter;
+	gpointer quota = NULL;
 
-	g_hash_table_iter_init(&at, rate_limiter->accounts);
-	while (g_hash_table_iter_next(&at, NULL, &account))
-		g_hash_table_remove(((struct account *)account)->charged, GUINT_TO_POINTER(vm));
+	g_hash_table_iter_init(&iter, rate_limiter->quotas);
+	while (g_hash_table_iter_next(&iter, NULL, &quota))
+		g_hash_table_remove(((struct quota *)quota)->charged, GUINT_TO_POINTER(vm));
 }
 
 void
 comet_rate_limiter_merge_total(
 	struct comet_rate_limiter *rate_limiter, uint32_t team_id, uint64_t recent, uint64_t now_us)
 {
-	struct account *account = account_now(rate_limiter, team_id, now_us);
+	struct quota *quota = advance_quota(rate_limiter, team_id, now_us);
 
-	if (account == NULL)
+	if (quota == NULL)
 		return;
-	if (account->told || parts_before(rate_limiter, account) == 0)
+	if (quota->told || slices_before_start(rate_limiter, quota) == 0)
 		return;
-	account->told = true;
-	double before = (double)recent - sum_of(account->counted);
-	assume(rate_limiter, account, MAX(before, 0));
+	quota->told = true;
+	double before = (double)recent - sum_slices(quota->all_spent);
+	set_assumed_spent(rate_limiter, quota, MAX(before, 0));
 }
 
 void
 comet_rate_limiter_refund(
 	struct comet_rate_limiter *rate_limiter, uint32_t team_id, uint64_t amount, uint64_t now_us)
 {
-	struct account *account = account_now(rate_limiter, team_id, now_us);
+	struct quota *quota = advance_quota(rate_limiter, team_id, now_us);
 
-	if (account == NULL)
+	if (quota == NULL)
 		return;
-	double *newest = &account->own[account->part % PARTS];
-	uncount(account, amount);
+	double *newest = &quota->own_spent[quota->slice % SLICES];
+	subtract_spent(quota, amount);
 	*newest = MAX(*newest - (double)amount, 0);
-	account->untold = MAX(account->untold - typical_part(account, (double)amount), 0);
-	account->spent -= MIN(account->spent, amount);
+	quota->unreported = MAX(quota->unreported - capped_amount(quota, (double)amount), 0);
+	quota->own_spent_total -= MIN(quota->own_spent_total, amount);
 }
 
 void
 comet_rate_limiter_mark_reported(struct comet_rate_limiter *rate_limiter)
 {
-	GHashTableIter at;
-	gpointer account = NULL;
+	GHashTableIter iter;
+	gpointer quota = NULL;
 
-	g_hash_table_iter_init(&at, rate_limiter->accounts);
-	while (g_hash_table_iter_next(&at, NULL, &account))
-		((struct account *)account)->untold = 0;
+	g_hash_table_iter_init(&iter, rate_limiter->quotas);
+	while (g_hash_table_iter_next(&iter, NULL, &quota))
+		((struct quota *)quota)->unreported = 0;
 }
 
 void
 comet_rate_limiter_each(struct comet_rate_limiter *rate_limiter, uint64_t now_us,
 	void (*visit)(void *ctx, const struct comet_rate_limiter_report *report), void *ctx)
 {
-	GHashTableIter at;
+	GHashTableIter iter;
 	gpointer key = NULL;
 	gpointer value = NULL;
 
-	g_hash_table_iter_init(&at, rate_limiter->accounts);
-	while (g_hash_table_iter_next(&at, &key, &value))
+	g_hash_table_iter_init(&iter, rate_limiter->quotas);
+	while (g_hash_table_iter_next(&iter, &key, &value))
 	{
-		struct account *account = value;
+		struct quota *quota = value;
 		struct comet_rate_limiter_report report = {
 			.team_id = GPOINTER_TO_UINT(key),
-			.spent = account->spent,
-			.last_us = account->last_us,
+			.spent = quota->own_spent_total,
+			.last_us = quota->last_us,
 		};
-		advance(rate_limiter, account, now_us);
-		report.lately = (uint64_t)sum_of(account->own);
-		/* What we only guess is not to be passed on as knowledge. */
-		if (account->told || parts_before(rate_limiter, account) == 0)
-			report.recent =
-				(uint64_t)(sum_of(account->counted) + sum_of(account->assumed));
+		advance(rate_limiter, quota, now_us);
+		report.lately = (uint64_t)sum_slices(quota->own_spent);
+		/* An assumption is not reported as knowledge. */
+		if (quota->told || slices_before_start(rate_limiter, quota) == 0)
+			report.recent = (uint64_t)(sum_slices(quota->all_spent) +
+						   sum_slices(quota->assumed_spent));
 		if (report.spent > 0 || report.recent > 0)
 			visit(ctx, &report);
 	}
@@ -560,9 +570,9 @@
 comet_rate_limiter_remaining(
 	struct comet_rate_limiter *rate_limiter, uint32_t team_id, uint64_t now_us)
 {
-	struct account *account = account_now(rate_limiter, team_id, now_us);
+	struct quota *quota = advance_quota(rate_limiter, team_id, now_us);
 
-	if (account == NULL)
+	if (quota == NULL)
 		return 0;
-	return left_of(rate_limiter, account, COMET_RATE_LIMITER_GOSSIP);
+	return remaining(rate_limiter, quota, COMET_RATE_LIMITER_GOSSIP);
 }
