--- a/libcometspindle/gateway/admission/quota_requests.c
+++ b/libcometspindle/gateway/admission/quota_requests.c
@@ -1,18 +1,18 @@
 /*
  * quota_requests.c
- * requests charged to their teams by the VMs that keep the teams' accounts
+ * requests of VMs to the owners of the teams' quotas
  */
 #include <libcometspindle/gateway/admission/quota_requests.h>
 
 #include <libcometspindle/gateway/messages/pending_rpcs.h>
 #include <talloc.h>
 
-/* A charge that is not answered yet. */
-struct open_charge
+/* A quota request that waits for the owner's response. */
+struct pending_request
 {
-	struct comet_pending_rpc ask; /* first member */
-	struct comet_quota_request charge;
-	bool forgotten; /* its owner is gone */
+	struct comet_pending_rpc rpc; /* first member */
+	struct comet_quota_request request;
+	bool cancelled;
 };
 
 struct comet_quota_requests
@@ -20,7 +20,7 @@
 	uint32_t address;
 	const struct comet_quota_requests_ops *ops;
 	void *ctx;
-	struct comet_pending_rpcs *asks; /* of struct open_charge */
+	struct comet_pending_rpcs *asks; /* of struct pending_request */
 };
 
 struct comet_quota_requests *
@@ -32,7 +32,7 @@
 	charges->address = address;
 	charges->ops = ops;
 	charges->ctx = ctx;
-	charges->asks = comet_pending_rpcs_create(charges, sizeof(struct open_charge));
+	charges->asks = comet_pending_rpcs_create(charges, sizeof(struct pending_request));
 	return charges;
 }
 
@@ -47,109 +47,113 @@
 
 void
 comet_quota_requests_send(struct comet_quota_requests *charges, void *owner, uint32_t keeper,
-	const struct comet_quota_request *charge, uint64_t now_us)
+	const struct comet_quota_request *request, uint64_t now_us)
 {
-	struct open_charge *open = comet_pending_rpcs_add(charges->asks, owner, keeper, now_us);
+	struct pending_request *pending =
+		comet_pending_rpcs_add(charges->asks, owner, keeper, now_us);
 	comet_Datagram datagram = {
 		.which_body = comet_Datagram_charge_tag,
 		.body.charge =
 			{
 				.asker = charges->address,
-				.number = open->ask.number,
-				.team = charge->team,
-				.amount = charge->amount,
-				.rank = charge->rank,
+				.number = pending->rpc.number,
+				.team = request->team,
+				.amount = request->amount,
+				.rank = request->rank,
 			},
 	};
 
-	open->charge = *charge;
+	pending->request = *request;
 	send(charges, keeper, &datagram);
 }
 
 void
 comet_quota_requests_cancel(struct comet_quota_requests *charges, const void *owner)
 {
-	struct open_charge *open = comet_pending_rpcs_find_owner(charges->asks, owner);
+	struct pending_request *pending = comet_pending_rpcs_find_owner(charges->asks, owner);
 
-	if (open == NULL)
+	if (pending == NULL)
 		return;
-	open->ask.owner = NULL;
-	open->forgotten = true;
+	pending->rpc.owner = NULL;
+	pending->cancelled = true;
 }
 
 void
 comet_quota_requests_refund(struct comet_quota_requests *charges, uint32_t keeper,
-	const struct comet_quota_request *charge)
+	const struct comet_quota_request *request)
 {
 	comet_Datagram datagram = {
 		.which_body = comet_Datagram_returned_tag,
 		.body.returned =
 			{
 				.asker = charges->address,
-				.team = charge->team,
-				.amount = charge->amount,
+				.team = request->team,
+				.amount = request->amount,
 			},
 	};
 
 	send(charges, keeper, &datagram);
 }
 
-/* An answer that comes after the charge was given up changes nothing: it was decided without the
- * keeper, which hears of what was spent by views, as it does of all that it did not charge. */
+/* A response that arrives after the request has expired changes nothing: this VM has decided
+ * without the owner. The owner learns from gossip what was spent, as it does of everything that it
+ * did not charge. */
 static void
-take_answer(struct comet_quota_requests *charges, const comet_ChargeAnswer *answer)
+handle_response(struct comet_quota_requests *charges, const comet_ChargeAnswer *response)
 {
-	struct open_charge *found =
-		comet_pending_rpcs_find(charges->asks, answer->number, answer->keeper);
+	struct pending_request *found =
+		comet_pending_rpcs_find(charges->asks, response->number, response->keeper);
 
-	comet_pending_rpcs_mark_responsive(charges->asks, answer->keeper);
+	comet_pending_rpcs_mark_responsive(charges->asks, response->keeper);
 	if (found == NULL)
 		return;
-	struct open_charge open = *found;
+	struct pending_request pending = *found;
 	comet_pending_rpcs_remove(charges->asks, found);
-	if (open.forgotten)
+	if (pending.cancelled)
 	{
-		if (answer->known && answer->wait_ms == 0)
-			comet_quota_requests_refund(charges, open.ask.vm, &open.charge);
+		if (response->known && response->wait_ms == 0)
+			comet_quota_requests_refund(charges, pending.rpc.vm, &pending.request);
 		return;
 	}
-	if (answer->known)
-		charges->ops->decided(charges->ctx, open.ask.owner, open.ask.vm, answer->wait_ms);
+	if (response->known)
+		charges->ops->decided(
+			charges->ctx, pending.rpc.owner, pending.rpc.vm, response->wait_ms);
 	else
-		charges->ops->undecided(charges->ctx, open.ask.owner, open.ask.vm);
+		charges->ops->undecided(charges->ctx, pending.rpc.owner, pending.rpc.vm);
 }
 
 static void
-answer_ask(struct comet_quota_requests *charges, const comet_ChargeAsk *ask)
+handle_request(struct comet_quota_requests *charges, const comet_ChargeAsk *message)
 {
-	const struct comet_quota_request charge = {ask->team, ask->rank, ask->amount};
+	const struct comet_quota_request request = {message->team, message->rank, message->amount};
 	comet_Datagram datagram = {.which_body = comet_Datagram_charged_tag};
-	comet_ChargeAnswer *answer = &datagram.body.charged;
+	comet_ChargeAnswer *response = &datagram.body.charged;
 
-	answer->keeper = charges->address;
-	answer->number = ask->number;
-	answer->known = charges->ops->charge(charges->ctx, ask->asker, &charge, &answer->wait_ms);
-	send(charges, ask->asker, &datagram);
+	response->keeper = charges->address;
+	response->number = message->number;
+	response->known =
+		charges->ops->charge(charges->ctx, message->asker, &request, &response->wait_ms);
+	send(charges, message->asker, &datagram);
 }
 
 bool
 comet_quota_requests_receive(struct comet_quota_requests *charges, const comet_Datagram *datagram)
 {
 	const comet_ChargeReturned *returned = &datagram->body.returned;
-	struct comet_quota_request charge = {0};
+	struct comet_quota_request request = {0};
 
 	switch (datagram->which_body)
 	{
 	case comet_Datagram_charge_tag:
-		answer_ask(charges, &datagram->body.charge);
+		handle_request(charges, &datagram->body.charge);
 		return true;
 	case comet_Datagram_charged_tag:
-		take_answer(charges, &datagram->body.charged);
+		handle_response(charges, &datagram->body.charged);
 		return true;
 	case comet_Datagram_returned_tag:
-		charge.team = returned->team;
-		charge.amount = returned->amount;
-		charges->ops->returned(charges->ctx, returned->asker, &charge);
+		request.team = returned->team;
+		request.amount = returned->amount;
+		charges->ops->returned(charges->ctx, returned->asker, &request);
 		return true;
 	default:
 		return false;
@@ -159,15 +163,15 @@
 bool
 comet_quota_requests_tick(struct comet_quota_requests *charges, uint64_t now_us)
 {
-	struct open_charge *overdue = NULL;
+	struct pending_request *expired = NULL;
 
-	while ((overdue = comet_pending_rpcs_find_expired(charges->asks, now_us)) != NULL)
+	while ((expired = comet_pending_rpcs_find_expired(charges->asks, now_us)) != NULL)
 	{
-		struct open_charge open = *overdue;
-		comet_pending_rpcs_remove(charges->asks, overdue);
-		comet_pending_rpcs_mark_unresponsive(charges->asks, open.ask.vm, now_us);
-		if (!open.forgotten)
-			charges->ops->undecided(charges->ctx, open.ask.owner, open.ask.vm);
+		struct pending_request pending = *expired;
+		comet_pending_rpcs_remove(charges->asks, expired);
+		comet_pending_rpcs_mark_unresponsive(charges->asks, pending.rpc.vm, now_us);
+		if (!pending.cancelled)
+			charges->ops->undecided(charges->ctx, pending.rpc.owner, pending.rpc.vm);
 	}
 	return comet_pending_rpcs_has_pending(charges->asks);
 }
--- a/libcometspindle/gateway/admission/quota_requests.h
+++ b/libcometspindle/gateway/admission/quota_requests.h
@@ -1,11 +1,12 @@
 /*
  * quota_requests.h
- * requests charged to their teams by the VMs that keep the teams' accounts
+ * requests of VMs to the owners of the teams' quotas
  *
- * What hundreds of VMs tell each other of their spending is seconds old, in which a team that turns
- * hot spends all of its limit. So one VM keeps each team's account, and the others ask
- * it before they send: one round trip a request, however many VMs there are. A charge that is not
- * answered in time is decided by what the asker itself knows. No sockets and no clock in here.
+ * Spending that hundreds of VMs exchange by gossip is seconds old, and a team whose load rises
+ * suddenly spends its whole limit in that time. Therefore one VM owns the quota of each team, and
+ * the other VMs send it a quota request before they dispatch: one round trip per request, whatever
+ * the number of VMs. If the owner does not respond in time, the requesting VM decides by what it
+ * knows. This module uses no sockets and no clock.
  */
 #ifndef COMETSPINDLE_GATEWAY_QUOTA_REQUESTS_H
 #define COMETSPINDLE_GATEWAY_QUOTA_REQUESTS_H
@@ -15,59 +16,62 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** What is charged, and to whom. */
+/** The team and the amount that a quota request charges. */
 struct comet_quota_request
 {
-	uint32_t team; /**< id */
-	uint32_t rank; /**< of the request, 0 is the most urgent */
+	uint32_t team; /**< id of the team */
+	uint32_t rank; /**< priority of the request; 0 is the most urgent */
 	uint64_t amount;
 };
 
 struct comet_quota_requests_ops
 {
 	void (*send)(void *ctx, uint32_t address, const uint8_t *data, size_t length);
-	/** Asker: the keeper has charged it (wait_ms 0), or tells when to ask again. */
+	/** Requesting VM: the owner has charged the request (wait_ms is 0), or names the delay
+	 * before the next attempt. */
 	void (*decided)(void *ctx, void *owner, uint32_t keeper, uint32_t wait_ms);
-	/** Asker: the keeper did not answer in time, or does not know the team's limit. */
+	/** Requesting VM: the owner did not respond in time, or does not know the team's limit. */
 	void (*undecided)(void *ctx, void *owner, uint32_t keeper);
-	/** Keeper: charges another VM's request. @return false when the team's limit is not known
+	/** Owner: charges a request of another VM. @return false if the team's limit is not known
 	 */
-	bool (*charge)(void *ctx, uint32_t asker, const struct comet_quota_request *charge,
+	bool (*charge)(void *ctx, uint32_t vm, const struct comet_quota_request *request,
 		uint32_t *wait_ms);
-	/** Keeper: a request that another VM had charged has not run. */
-	void (*returned)(void *ctx, uint32_t asker, const struct comet_quota_request *charge);
+	/** Owner: a request that was charged to another VM did not run. */
+	void (*returned)(void *ctx, uint32_t vm, const struct comet_quota_request *request);
 };
 
 struct comet_quota_requests;
 
-/** address: of this VM (IPv4, host order). */
+/** address: this VM's IPv4 address in host order. */
 struct comet_quota_requests *
 comet_quota_requests_create(
 	void *parent, uint32_t address, const struct comet_quota_requests_ops *ops, void *ctx);
 
-/** Asks the keeper to charge a request; ends in decided or undecided, or by forget. */
+/** Sends a quota request to the owner. It ends with a call of decided or undecided, or with
+ * comet_quota_requests_cancel. */
 void
 comet_quota_requests_send(struct comet_quota_requests *charges, void *owner, uint32_t keeper,
-	const struct comet_quota_request *charge, uint64_t now_us);
+	const struct comet_quota_request *request, uint64_t now_us);
 
-/** The owner is gone: what is still charged for it is given back. */
+/** Cancels the quota request of a caller that is gone. If the owner charges it later, the amount is
+ * refunded. */
 void
 comet_quota_requests_cancel(struct comet_quota_requests *charges, const void *owner);
 
-/** A request that the keeper charged has not run. */
+/** Tells the owner that a request it charged did not run. */
 void
 comet_quota_requests_refund(struct comet_quota_requests *charges, uint32_t keeper,
-	const struct comet_quota_request *charge);
+	const struct comet_quota_request *request);
 
-/** A datagram arrived. @return whether it was one of these */
+/** Handles a datagram. @return whether it belongs to this module */
 bool
 comet_quota_requests_receive(struct comet_quota_requests *charges, const comet_Datagram *datagram);
 
-/** Gives up charges that were not answered in time. @return whether any is still open */
+/** Ends quota requests that have expired. @return whether any is still pending */
 bool
 comet_quota_requests_tick(struct comet_quota_requests *charges, uint64_t now_us);
 
-/** @return whether a VM left a charge unanswered of late. */
+/** @return whether a VM recently left a quota request without a response. */
 bool
 comet_quota_requests_is_unresponsive(
 	const struct comet_quota_requests *charges, uint32_t vm, uint64_t now_us);
