--- a/libcometspindle/gateway/admission/retry_budget.c
+++ b/libcometspindle/gateway/admission/retry_budget.c
@@ -1,24 +1,25 @@
 /*
  * retry_budget.c
- * how many requests may be sent to a second endpoint, per service
+ * limit on the requests that are sent to a second endpoint, per service
  */
 #include <libcometspindle/gateway/admission/retry_budget.h>
 
 #include <glib.h>
 #include <talloc.h>
 
-/* Part of the bound that is used: VMs come and go, and their parts overlap for a moment. */
-#define USED_PART 0.6
+/* Fraction of the limit that is used. While VMs join and leave, their shares overlap for a short
+ * time. */
+#define USED_RATIO 0.6
 
 struct bucket
 {
 	double level;
-	uint64_t filled_us;
+	uint64_t refilled_us;
 };
 
 struct comet_retry_budget
 {
-	struct comet_retry_budget_config bounds;
+	struct comet_retry_budget_config config;
 	GHashTable *buckets; /* service -> struct bucket */
 	uint32_t vms;
 };
@@ -31,11 +32,11 @@
 }
 
 struct comet_retry_budget *
-comet_retry_budget_create(void *parent, const struct comet_retry_budget_config *bounds)
+comet_retry_budget_create(void *parent, const struct comet_retry_budget_config *config)
 {
 	struct comet_retry_budget *budget = talloc_zero(parent, struct comet_retry_budget);
 
-	budget->bounds = *bounds;
+	budget->config = *config;
 	budget->vms = 1;
 	budget->buckets = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	talloc_set_destructor(budget, budget_destroy);
@@ -48,16 +49,17 @@
 	budget->vms = MAX(vms, 1);
 }
 
-/* This VM's part of the slack in one window. */
+/* This VM's share of the slack per window. */
 static double
 own_slack(const struct comet_retry_budget *budget)
 {
-	return USED_PART * budget->bounds.slack / budget->vms;
+	return USED_RATIO * budget->config.slack / budget->vms;
 }
 
-/* Half of the slack may be spent at once, the other half comes back over a window. */
+/* Refills a service's bucket for the elapsed time. Half of the slack may be spent at once, the
+ * other half is refilled over a window. */
 static struct bucket *
-filled(struct comet_retry_budget *budget, const char *service, uint64_t now_us)
+refill(struct comet_retry_budget *budget, const char *service, uint64_t now_us)
 {
 	struct bucket *bucket = g_hash_table_lookup(budget->buckets, service);
 	double capacity = own_slack(budget) / 2;
@@ -65,12 +67,12 @@
 	if (bucket == NULL)
 	{
 		bucket = g_new0(struct bucket, 1);
-		bucket->filled_us = now_us;
+		bucket->refilled_us = now_us;
 		bucket->level = MAX(capacity, 1.0);
 		g_hash_table_insert(budget->buckets, g_strdup(service), bucket);
 	}
-	double windows = (double)(now_us - bucket->filled_us) / 1000 / budget->bounds.window_ms;
-	bucket->filled_us = now_us;
+	double windows = (double)(now_us - bucket->refilled_us) / 1000 / budget->config.window_ms;
+	bucket->refilled_us = now_us;
 	bucket->level = MIN(bucket->level + capacity * windows, MAX(capacity, 1.0));
 	return bucket;
 }
@@ -78,15 +80,15 @@
 void
 comet_retry_budget_first(struct comet_retry_budget *budget, const char *service, uint64_t now_us)
 {
-	struct bucket *bucket = filled(budget, service, now_us);
+	struct bucket *bucket = refill(budget, service, now_us);
 
-	bucket->level += USED_PART * budget->bounds.ratio;
+	bucket->level += USED_RATIO * budget->config.ratio;
 }
 
 bool
 comet_retry_budget_take(struct comet_retry_budget *budget, const char *service, uint64_t now_us)
 {
-	struct bucket *bucket = filled(budget, service, now_us);
+	struct bucket *bucket = refill(budget, service, now_us);
 
 	if (bucket->level < 1.0)
 		return false;
@@ -98,5 +100,5 @@
 comet_retry_budget_remaining(
 	struct comet_retry_budget *budget, const char *service, uint64_t now_us)
 {
-	return filled(budget, service, now_us)->level;
+	return refill(budget, service, now_us)->level;
 }
