--- a/tests/unit/team_table.h
+++ b/tests/unit/team_table.h
@@ -1,18 +1,18 @@
 /*
  * team_table.h
- * a route table without routes and with one team, "t", whose limit is told in tokens
+ * a route table without routes that has one team, "t", with a limit in tokens
  */
 #ifndef COMETSPINDLE_TESTS_TEAM_TABLE_H
 #define COMETSPINDLE_TESTS_TEAM_TABLE_H
 
-#include <gtest/gtest.h> /* C++ headers go before what is of C linkage */
+#include <gtest/gtest.h> /* C++ headers precede those with C linkage */
 
 extern "C"
 {
 #include <libcometspindle/gateway/routing/routes.h>
 }
 
-/** Free with comet_route_table_unref. */
+/** The caller releases the table with comet_route_table_unref. */
 inline comet_route_table *
 create_team_table()
 {
--- a/tests/unit/test_limits_fleet.cc
+++ b/tests/unit/test_limits_fleet.cc
@@ -1,6 +1,6 @@
 /*
  * test_limits_fleet.cc
- * teams' limits over hundreds of VMs, under recorded patterns of load, in virtual time
+ * team limits over hundreds of VMs, with load patterns taken from recordings, in virtual time
  */
 #include <gtest/gtest.h>
 
@@ -27,40 +27,40 @@
 constexpr uint64_t window_ms = 8000;
 constexpr double overage = 0.25;
 constexpr double slack = 72000;
-constexpr uint64_t views_us = 2 * second_us; /* what a VM tells is up to so old */
+constexpr uint64_t gossip_interval_us = 2 * second_us; /* age that a VM's report can reach */
 
-/* A team, what it usually sends, and what became of it. */
+/* A team, its typical load, and the outcome of its requests. */
 struct team
 {
 	std::string name;
 	uint64_t rate_per_s;
-	double usual_per_s; /* tokens */
-	uint32_t mean;      /* tokens of a request */
+	double typical_tokens_per_s;
+	uint32_t mean_tokens; /* per request */
 	uint32_t id = 0;
-	std::vector<uint64_t> by_step = {}; /* spent over all VMs */
-	uint32_t passed = 0;
-	uint32_t refused = 0;
+	std::vector<uint64_t> spent_by_step = {}; /* over all VMs */
+	uint32_t admitted = 0;
+	uint32_t rejected = 0;
 
 	double
-	bound() const
+	max_allowed() const
 	{
 		return (double)rate_per_s * 9 * (1 + overage) + slack;
 	}
 
 	uint64_t
-	most() const
+	max_spent_in_window() const
 	{
 		size_t window = window_ms * 1000 / step_us;
-		uint64_t most = 0;
+		uint64_t max_spent = 0;
 		uint64_t sum = 0;
-		for (size_t i = 0; i < by_step.size(); i++)
+		for (size_t i = 0; i < spent_by_step.size(); i++)
 		{
-			sum += by_step[i];
+			sum += spent_by_step[i];
 			if (i >= window)
-				sum -= by_step[i - window];
-			most = std::max(most, sum);
+				sum -= spent_by_step[i - window];
+			max_spent = std::max(max_spent, sum);
 		}
-		return most;
+		return max_spent;
 	}
 };
 
@@ -68,22 +68,22 @@
 
 struct vm
 {
-	fleet *all = nullptr;
+	fleet *cluster = nullptr;
 	uint32_t address = 0;
 	comet_rate_limiter *rate_limiter = nullptr;
 	comet_quota_requests *charges = nullptr;
-	std::map<uint32_t, uint64_t> told; /* team -> spent, as the others know */
+	std::map<uint32_t, uint64_t> told; /* team -> spent, as last reported to the other VMs */
 };
 
-struct waiting
+struct pending_request
 {
-	vm *at;
-	team *of;
-	comet_quota_request charge;
-	uint32_t asked = 0; /* keepers */
+	vm *sender;
+	team *spender;
+	comet_quota_request quota_request;
+	uint32_t attempts = 0;
 };
 
-struct mail
+struct datagram_in_flight
 {
 	uint64_t due_us;
 	uint32_t from;
@@ -96,16 +96,17 @@
 	std::vector<vm> vms;
 	std::vector<team> teams;
 	comet_route_table *table = nullptr;
-	std::deque<mail> post;
-	std::set<waiting *> asked;
-	std::set<uint32_t> cut;    /* VMs that no other VM reaches */
-	uint32_t keeper = 1;       /* of all accounts */
-	uint32_t heard_of_cut = 0; /* VMs that are known to be cut off */
-	uint64_t silent_us = 0;
+	std::deque<datagram_in_flight> in_flight;
+	std::set<pending_request *> pending_requests;
+	std::set<uint32_t> unreachable;    /* VMs that exchange no datagrams with others */
+	uint32_t keeper = 1;               /* of all quotas */
+	uint32_t detected_unreachable = 0; /* number of VMs that are known to be unreachable */
+	uint64_t partitioned_since_us = 0;
 	uint64_t now_us = 20 * second_us;
-	std::mt19937 draw{7};
+	std::mt19937 rng{7};
 
-	fleet(uint32_t count, std::vector<team> of) : vms(count), teams(std::move(of))
+	fleet(uint32_t count, std::vector<team> initial_teams)
+	    : vms(count), teams(std::move(initial_teams))
 	{
 		comet_http_limits limits = {};
 		table = comet_route_table_create(1, &limits);
@@ -121,14 +122,14 @@
 		}
 		for (uint32_t i = 0; i < count; i++)
 			start(vms[i], i + 1);
-		now_us += 20 * second_us; /* nothing is assumed of the time before any more */
+		now_us += 20 * second_us; /* no spending before the start is assumed any more */
 	}
 
 	~fleet()
 	{
 		for (auto &one : vms)
 			talloc_free(one.rate_limiter);
-		for (auto *one : asked)
+		for (auto *one : pending_requests)
 			delete one;
 		comet_route_table_unref(table);
 	}
@@ -140,7 +141,7 @@
 			on_send, on_decided, on_undecided, on_charge, on_returned};
 		comet_rate_limiter_config bounds = {window_ms, overage, slack};
 
-		one.all = this;
+		one.cluster = this;
 		one.address = address;
 		one.told.clear();
 		one.rate_limiter = comet_rate_limiter_create(nullptr, &bounds, now_us);
@@ -148,14 +149,14 @@
 		one.charges = comet_quota_requests_create(one.rate_limiter, address, &ops, &one);
 	}
 
-	/* All processes are killed, and run again. */
+	/* Kills and restarts all processes. */
 	void
 	restart_all()
 	{
-		post.clear();
-		for (auto *one : asked)
+		in_flight.clear();
+		for (auto *one : pending_requests)
 			delete one;
-		asked.clear();
+		pending_requests.clear();
 		for (auto &one : vms)
 		{
 			talloc_free(one.rate_limiter);
@@ -167,98 +168,101 @@
 	on_send(void *ctx, uint32_t address, const uint8_t *data, size_t length)
 	{
 		auto *one = static_cast<vm *>(ctx);
-		one->all->post.push_back({one->all->now_us + step_us, one->address, address,
-			std::string((const char *)data, length)});
+		one->cluster->in_flight.push_back({one->cluster->now_us + step_us, one->address,
+			address, std::string((const char *)data, length)});
 	}
 
 	static void
 	on_decided(void *ctx, void *owner, uint32_t, uint32_t wait_ms)
 	{
 		auto *one = static_cast<vm *>(ctx);
-		auto *request = static_cast<waiting *>(owner);
+		auto *request = static_cast<pending_request *>(owner);
 		if (wait_ms == 0)
-			comet_rate_limiter_charged(one->rate_limiter, request->charge.team,
-				request->charge.amount, one->all->now_us);
-		one->all->end(request, wait_ms == 0);
+			comet_rate_limiter_charged(one->rate_limiter, request->quota_request.team,
+				request->quota_request.amount, one->cluster->now_us);
+		one->cluster->finish(request, wait_ms == 0);
 	}
 
 	static void
 	on_undecided(void *ctx, void *owner, uint32_t)
 	{
-		static_cast<vm *>(ctx)->all->charge(static_cast<waiting *>(owner));
+		static_cast<vm *>(ctx)->cluster->send_quota_request(
+			static_cast<pending_request *>(owner));
 	}
 
 	static bool
-	on_charge(void *ctx, uint32_t asker, const comet_quota_request *charge, uint32_t *wait_ms)
+	on_charge(void *ctx, uint32_t vm_address, const comet_quota_request *request,
+		uint32_t *wait_ms)
 	{
 		auto *one = static_cast<vm *>(ctx);
-		return comet_rate_limiter_charge_remote(one->rate_limiter, asker, charge->team,
-			charge->rank, charge->amount, one->all->now_us, wait_ms);
+		return comet_rate_limiter_charge_remote(one->rate_limiter, vm_address,
+			request->team, request->rank, request->amount, one->cluster->now_us,
+			wait_ms);
 	}
 
 	static void
-	on_returned(void *ctx, uint32_t asker, const comet_quota_request *charge)
+	on_returned(void *ctx, uint32_t vm_address, const comet_quota_request *request)
 	{
 		auto *one = static_cast<vm *>(ctx);
-		comet_rate_limiter_refund_remote(
-			one->rate_limiter, asker, charge->team, charge->amount, one->all->now_us);
+		comet_rate_limiter_refund_remote(one->rate_limiter, vm_address, request->team,
+			request->amount, one->cluster->now_us);
 	}
 
 	void
-	end(waiting *request, bool passed)
+	finish(pending_request *request, bool admitted)
 	{
-		team &of = *request->of;
-		(passed ? of.passed : of.refused)++;
-		if (passed)
-			of.by_step.back() += request->charge.amount;
-		asked.erase(request);
+		team &spender = *request->spender;
+		(admitted ? spender.admitted : spender.rejected)++;
+		if (admitted)
+			spender.spent_by_step.back() += request->quota_request.amount;
+		pending_requests.erase(request);
 		delete request;
 	}
 
 	void
-	decide(waiting *request, comet_rate_limiter_source sight)
+	decide(pending_request *request, comet_rate_limiter_source source)
 	{
-		uint32_t wait_ms =
-			comet_rate_limiter_spend(request->at->rate_limiter, request->charge.team,
-				request->charge.rank, request->charge.amount, sight, now_us);
-		end(request, wait_ms == 0);
+		uint32_t wait_ms = comet_rate_limiter_spend(request->sender->rate_limiter,
+			request->quota_request.team, request->quota_request.rank,
+			request->quota_request.amount, source, now_us);
+		finish(request, wait_ms == 0);
 	}
 
-	/* A request arrives, as the gateway's adapter takes it. */
+	/* Takes a request as the gateway's adapter does. */
 	void
-	arrive(vm &at, team &of, uint32_t amount)
+	submit(vm &sender, team &spender, uint32_t amount)
 	{
-		auto *request = new waiting{&at, &of, {of.id, 0, amount}};
-		asked.insert(request);
-		charge(request);
+		auto *request = new pending_request{&sender, &spender, {spender.id, 0, amount}};
+		pending_requests.insert(request);
+		send_quota_request(request);
 	}
 
-	/* Charges it where the account is kept, or at the next VM if that one is mute. */
+	/* Sends a quota request to the owner, or to the next VM if the owner is unresponsive. */
 	void
-	charge(waiting *request)
+	send_quota_request(pending_request *request)
 	{
-		vm &at = *request->at;
-		uint32_t asked_of = keeper;
-		while (comet_quota_requests_is_unresponsive(at.charges, asked_of, now_us))
-			asked_of++;
-		if (at.address == asked_of)
+		vm &sender = *request->sender;
+		uint32_t target = keeper;
+		while (comet_quota_requests_is_unresponsive(sender.charges, target, now_us))
+			target++;
+		if (sender.address == target)
 			decide(request, COMET_RATE_LIMITER_OWNER);
-		else if (request->asked++ >= 2)
+		else if (request->attempts++ >= 2)
 			decide(request, COMET_RATE_LIMITER_GOSSIP);
 		else
 			comet_quota_requests_send(
-				at.charges, request, asked_of, &request->charge, now_us);
+				sender.charges, request, target, &request->quota_request, now_us);
 	}
 
 	void
 	deliver()
 	{
-		while (!post.empty() && post.front().due_us <= now_us)
+		while (!in_flight.empty() && in_flight.front().due_us <= now_us)
 		{
-			mail one = post.front();
+			datagram_in_flight one = in_flight.front();
 			comet_Datagram datagram;
-			post.pop_front();
-			if (cut.count(one.from) != 0 || cut.count(one.to) != 0)
+			in_flight.pop_front();
+			if (unreachable.count(one.from) != 0 || unreachable.count(one.to) != 0)
 				continue;
 			ASSERT_TRUE(comet_datagram_decode(
 				(const uint8_t *)one.bytes.data(), one.bytes.size(), &datagram));
@@ -267,21 +271,21 @@
 		}
 	}
 
-	/* A VM's view reaches the others that it reaches. */
+	/* Reports a VM's spending to all VMs that it reaches. */
 	void
-	tell(vm &from)
+	send_report(vm &from)
 	{
-		struct told
+		struct spending
 		{
 			std::map<uint32_t, uint64_t> spent;
 		} report;
 		comet_rate_limiter_each(
 			from.rate_limiter, now_us,
 			[](void *ctx, const comet_rate_limiter_report *one)
-			{ static_cast<told *>(ctx)->spent[one->team_id] = one->spent; },
+			{ static_cast<spending *>(ctx)->spent[one->team_id] = one->spent; },
 			&report);
 		comet_rate_limiter_mark_reported(from.rate_limiter);
-		if (cut.count(from.address) != 0)
+		if (unreachable.count(from.address) != 0)
 			return;
 		for (auto &one : report.spent)
 		{
@@ -291,7 +295,8 @@
 				continue;
 			for (auto &to : vms)
 			{
-				if (to.address != from.address && cut.count(to.address) == 0)
+				if (to.address != from.address &&
+					unreachable.count(to.address) == 0)
 					comet_rate_limiter_merge_remote(to.rate_limiter,
 						from.address, one.first, one.second - before,
 						now_us);
@@ -303,44 +308,47 @@
 	set_vms(vm &one) const
 	{
 		auto count = (uint32_t)vms.size();
-		uint32_t heard = cut.count(one.address) != 0 ? 1 : count - heard_of_cut;
-		comet_rate_limiter_set_vms(one.rate_limiter, heard_of_cut != 0 ? heard : count,
-			count, heard_of_cut != 0 ? silent_us : 0);
+		uint32_t heard =
+			unreachable.count(one.address) != 0 ? 1 : count - detected_unreachable;
+		comet_rate_limiter_set_vms(one.rate_limiter,
+			detected_unreachable != 0 ? heard : count, count,
+			detected_unreachable != 0 ? partitioned_since_us : 0);
 	}
 
-	/* Time passes; factor: of what a team usually sends. */
+	/* Lets time pass; factor gives a team's load relative to its typical load. */
 	void
-	pass(uint64_t us, const std::function<double(const team &)> &factor)
+	advance(uint64_t us, const std::function<double(const team &)> &factor)
 	{
-		std::lognormal_distribution<double> size(0, 0.8);
-		std::uniform_int_distribution<size_t> any(0, vms.size() - 1);
+		std::lognormal_distribution<double> relative_size(0, 0.8);
+		std::uniform_int_distribution<size_t> random_vm(0, vms.size() - 1);
 		for (uint64_t end_us = now_us + us; now_us < end_us; now_us += step_us)
 		{
 			for (auto &one : teams)
-				one.by_step.push_back(0);
+				one.spent_by_step.push_back(0);
 			deliver();
 			for (size_t i = 0; i < vms.size(); i++)
 			{
 				set_vms(vms[i]);
 				comet_quota_requests_tick(vms[i].charges, now_us);
-				if ((now_us / step_us + i) % (views_us / step_us) == 0)
-					tell(vms[i]);
+				if ((now_us / step_us + i) % (gossip_interval_us / step_us) == 0)
+					send_report(vms[i]);
 			}
 			for (auto &one : teams)
 			{
-				double per_step = factor(one) * one.usual_per_s / one.mean *
-						  ((double)step_us / second_us);
+				double per_step = factor(one) * one.typical_tokens_per_s /
+						  one.mean_tokens * ((double)step_us / second_us);
 				std::poisson_distribution<int> count(per_step);
-				for (int i = count(draw); i > 0; i--)
-					arrive(vms[any(draw)], one,
-						(uint32_t)(one.mean * size(draw)) + 1);
+				for (int i = count(rng); i > 0; i--)
+					submit(vms[random_vm(rng)], one,
+						(uint32_t)(one.mean_tokens * relative_size(rng)) +
+							1);
 			}
 		}
 	}
 };
 
-/* A team of a usual load, a small one, and one that turns hot; each usually sends 0.55 of its rate,
- * a little more than half of its limit. */
+/* One team of typical size, a small one, and one that becomes overloaded. The typical load of each
+ * is 0.55 of its rate, a little more than half of its limit. */
 std::vector<team>
 three_teams()
 {
@@ -349,104 +357,106 @@
 }
 
 std::function<double(const team &)>
-hot_times(double hot, double all = 1)
+load_factors(double hot, double others = 1)
 {
-	return [hot, all](const team &one) { return one.name == "hot" ? hot : all; };
+	return [hot, others](const team &one) { return one.name == "hot" ? hot : others; };
 }
 
 uint32_t
-refused(const fleet &all, const char *name)
+rejected(const fleet &cluster, const char *name)
 {
-	for (const auto &one : all.teams)
+	for (const auto &one : cluster.teams)
 	{
 		if (one.name == name)
-			return one.refused;
+			return one.rejected;
 	}
 	return UINT32_MAX;
 }
 
 void
-expect_bounds(const fleet &all)
+expect_bounds(const fleet &cluster)
 {
-	for (const auto &one : all.teams)
-		EXPECT_LE((double)one.most(), one.bound()) << one.name;
+	for (const auto &one : cluster.teams)
+		EXPECT_LE((double)one.max_spent_in_window(), one.max_allowed()) << one.name;
 }
 
-/* Of 295 VMs each knew the others' spending two seconds late: a team at six times its rate
- * overspent its limit, and single requests, taken for what 294 others send meanwhile, refused teams
- * that were far below theirs. */
-TEST(LimitsFleet, AHotTeamSpendsItsLimitAndOthersAreNotRefused)
+/* Guards against limits that rely on gossip alone. Each of 295 VMs knew the others' spending two
+ * seconds late. A team at six times its rate exceeded its limit, and a single request, multiplied
+ * by the 294 other VMs, caused rejections for teams far below their limits. */
+TEST(LimitsFleet, OverloadedTeamReachesItsLimitAndOthersAreAdmitted)
 {
-	fleet all(295, three_teams());
-	all.pass(3 * second_us, hot_times(1.7, 1.7));
-	all.pass(8 * second_us, hot_times(6));
-	all.pass(3 * second_us, hot_times(6, 1.7));
-	expect_bounds(all);
-	EXPECT_EQ(refused(all, "usual"), 0U);
-	EXPECT_EQ(refused(all, "small"), 0U);
-	EXPECT_GE((double)all.teams[2].most(), all.teams[2].rate_per_s * 9 * 0.95);
+	fleet cluster(295, three_teams());
+	cluster.advance(3 * second_us, load_factors(1.7, 1.7));
+	cluster.advance(8 * second_us, load_factors(6));
+	cluster.advance(3 * second_us, load_factors(6, 1.7));
+	expect_bounds(cluster);
+	EXPECT_EQ(rejected(cluster, "usual"), 0U);
+	EXPECT_EQ(rejected(cluster, "small"), 0U);
+	EXPECT_GE((double)cluster.teams[2].max_spent_in_window(),
+		cluster.teams[2].rate_per_s * 9 * 0.95);
 }
 
-/* All are killed while a team is hot: nobody knows what was spent. */
-TEST(LimitsFleet, WhenAllRestartTheLimitHolds)
+/* All processes are killed while a team is overloaded, so no VM knows what was spent. */
+TEST(LimitsFleet, LimitHoldsWhenAllVmsRestart)
 {
-	fleet all(295, three_teams());
-	all.pass(9 * second_us, hot_times(6));
-	all.restart_all();
-	all.pass(4 * second_us, hot_times(6));
-	all.restart_all();
-	all.pass(9 * second_us, hot_times(6));
-	expect_bounds(all);
-	EXPECT_LE(refused(all, "usual"), all.teams[0].passed / 20) << "it is far from its limit";
+	fleet cluster(295, three_teams());
+	cluster.advance(9 * second_us, load_factors(6));
+	cluster.restart_all();
+	cluster.advance(4 * second_us, load_factors(6));
+	cluster.restart_all();
+	cluster.advance(9 * second_us, load_factors(6));
+	expect_bounds(cluster);
+	EXPECT_LE(rejected(cluster, "usual"), cluster.teams[0].admitted / 20)
+		<< "the team is far from its limit";
 }
 
-/* The keeper is gone, until it is noticed and another VM keeps the accounts. */
-TEST(LimitsFleet, AKeeperThatDiesLosesNoCount)
+/* The owner fails; after the failure is detected, another VM owns the quotas. */
+TEST(LimitsFleet, LimitHoldsWhenTheOwnerFails)
 {
-	fleet all(295, three_teams());
-	all.pass(9 * second_us, hot_times(2));
-	all.cut.insert(1);
-	all.pass(2 * second_us, hot_times(2));
-	all.keeper = 2;
-	all.pass(9 * second_us, hot_times(6));
-	expect_bounds(all);
-	EXPECT_EQ(refused(all, "usual"), 0U);
-	EXPECT_EQ(refused(all, "small"), 0U);
+	fleet cluster(295, three_teams());
+	cluster.advance(9 * second_us, load_factors(2));
+	cluster.unreachable.insert(1);
+	cluster.advance(2 * second_us, load_factors(2));
+	cluster.keeper = 2;
+	cluster.advance(9 * second_us, load_factors(6));
+	expect_bounds(cluster);
+	EXPECT_EQ(rejected(cluster, "usual"), 0U);
+	EXPECT_EQ(rejected(cluster, "small"), 0U);
 }
 
-/* A third of the VMs hear nobody for ten seconds, of which five pass before that is noticed. */
-TEST(LimitsFleet, VmsThatAreCutOffSpendTheirPartsOnly)
+/* A third of the VMs are partitioned for ten seconds, the first five of them undetected. */
+TEST(LimitsFleet, PartitionedVmsSpendOnlyTheirShares)
 {
-	fleet all(295, three_teams());
-	all.pass(9 * second_us, hot_times(1.5));
+	fleet cluster(295, three_teams());
+	cluster.advance(9 * second_us, load_factors(1.5));
 	for (uint32_t address = 200; address <= 295; address++)
-		all.cut.insert(address);
-	all.silent_us = all.now_us;
-	all.pass(5 * second_us, hot_times(1.5));
-	all.heard_of_cut = 96;
-	all.pass(5 * second_us, hot_times(1.5));
-	expect_bounds(all);
+		cluster.unreachable.insert(address);
+	cluster.partitioned_since_us = cluster.now_us;
+	cluster.advance(5 * second_us, load_factors(1.5));
+	cluster.detected_unreachable = 96;
+	cluster.advance(5 * second_us, load_factors(1.5));
+	expect_bounds(cluster);
 }
 
-/* Three of four VMs were killed, and the fourth, two seconds old, refused a team that had spent
- * next to nothing: its part of the limit was a quarter, of which it took nine tenths of the whole
- * for spent. */
-TEST(LimitsFleet, AVmThatIsLeftAloneServesItsPart)
+/* Guards against rejections by an isolated VM. Three of four VMs were killed, and the fourth, two
+ * seconds old, rejected a team that had spent almost nothing: its share was a quarter of the limit,
+ * of which it subtracted an assumed nine tenths of the whole limit. */
+TEST(LimitsFleet, IsolatedVmServesItsShare)
 {
 	std::vector<team> one = {{"t", 1000000, 10, 10}};
-	fleet all(4, one);
-	talloc_free(all.vms[3].rate_limiter);
-	all.start(all.vms[3], 4);
-	uint64_t began_us = all.now_us;
-	uint32_t id = all.teams[0].id;
-	comet_rate_limiter *rate_limiter = all.vms[3].rate_limiter;
+	fleet cluster(4, one);
+	talloc_free(cluster.vms[3].rate_limiter);
+	cluster.start(cluster.vms[3], 4);
+	uint64_t started_us = cluster.now_us;
+	uint32_t id = cluster.teams[0].id;
+	comet_rate_limiter *rate_limiter = cluster.vms[3].rate_limiter;
 
 	for (uint64_t ms = 0; ms < 9000; ms += 10)
 	{
-		uint64_t now_us = began_us + ms * 1000;
-		bool alone = ms >= 3000; /* they were heard last at 2 s */
+		uint64_t now_us = started_us + ms * 1000;
+		bool isolated = ms >= 3000; /* the others were last seen at 2 s */
 		comet_rate_limiter_set_vms(
-			rate_limiter, alone ? 1 : 4, 4, alone ? began_us + 2000000 : 0);
+			rate_limiter, isolated ? 1 : 4, 4, isolated ? started_us + 2000000 : 0);
 		EXPECT_EQ(comet_rate_limiter_spend(
 				  rate_limiter, id, 0, 10, COMET_RATE_LIMITER_OWNER, now_us),
 			0U)
@@ -459,30 +469,34 @@
 	}
 }
 
-/* What a keeper charged is told again by the asker's views, and counts once. */
-TEST(LimitsFleet, WhatWasChargedIsNotCountedAgainWhenItIsTold)
+/* The owner receives what it charged again in the requesting VM's reports, and counts it once. */
+TEST(LimitsFleet, ChargedAmountIsNotCountedAgainWhenReported)
 {
 	std::vector<team> one = {{"t", 1000, 10, 10}};
-	fleet all(2, one);
-	uint32_t id = all.teams[0].id;
-	comet_rate_limiter *keeper = all.vms[0].rate_limiter;
+	fleet cluster(2, one);
+	uint32_t id = cluster.teams[0].id;
+	comet_rate_limiter *keeper = cluster.vms[0].rate_limiter;
 	uint32_t wait_ms = 1;
-	double before = comet_rate_limiter_remaining(keeper, id, all.now_us);
+	double before = comet_rate_limiter_remaining(keeper, id, cluster.now_us);
 
-	EXPECT_TRUE(comet_rate_limiter_charge_remote(keeper, 2, id, 0, 500, all.now_us, &wait_ms));
+	EXPECT_TRUE(
+		comet_rate_limiter_charge_remote(keeper, 2, id, 0, 500, cluster.now_us, &wait_ms));
 	EXPECT_EQ(wait_ms, 0U);
-	EXPECT_EQ(comet_rate_limiter_remaining(keeper, id, all.now_us), before - 500);
-	comet_rate_limiter_merge_remote(keeper, 2, id, 700, all.now_us);
-	EXPECT_EQ(comet_rate_limiter_remaining(keeper, id, all.now_us), before - 700);
-	EXPECT_TRUE(comet_rate_limiter_charge_remote(keeper, 2, id, 0, 300, all.now_us, &wait_ms));
-	comet_rate_limiter_refund_remote(keeper, 2, id, 300, all.now_us);
-	EXPECT_EQ(comet_rate_limiter_remaining(keeper, id, all.now_us), before - 700);
-	EXPECT_TRUE(comet_rate_limiter_charge_remote(keeper, 2, id, 0, 300, all.now_us, &wait_ms));
-	comet_rate_limiter_vm_restarted(keeper, 2); /* what it was charged before is told no more */
-	comet_rate_limiter_merge_remote(keeper, 2, id, 100, all.now_us);
-	EXPECT_EQ(comet_rate_limiter_remaining(keeper, id, all.now_us), before - 1100);
-	EXPECT_FALSE(
-		comet_rate_limiter_charge_remote(keeper, 2, id + 1, 0, 1, all.now_us, &wait_ms));
+	EXPECT_EQ(comet_rate_limiter_remaining(keeper, id, cluster.now_us), before - 500);
+	comet_rate_limiter_merge_remote(keeper, 2, id, 700, cluster.now_us);
+	EXPECT_EQ(comet_rate_limiter_remaining(keeper, id, cluster.now_us), before - 700);
+	EXPECT_TRUE(
+		comet_rate_limiter_charge_remote(keeper, 2, id, 0, 300, cluster.now_us, &wait_ms));
+	comet_rate_limiter_refund_remote(keeper, 2, id, 300, cluster.now_us);
+	EXPECT_EQ(comet_rate_limiter_remaining(keeper, id, cluster.now_us), before - 700);
+	EXPECT_TRUE(
+		comet_rate_limiter_charge_remote(keeper, 2, id, 0, 300, cluster.now_us, &wait_ms));
+	/* Charges from before the restart will not be reported any more. */
+	comet_rate_limiter_vm_restarted(keeper, 2);
+	comet_rate_limiter_merge_remote(keeper, 2, id, 100, cluster.now_us);
+	EXPECT_EQ(comet_rate_limiter_remaining(keeper, id, cluster.now_us), before - 1100);
+	EXPECT_FALSE(comet_rate_limiter_charge_remote(
+		keeper, 2, id + 1, 0, 1, cluster.now_us, &wait_ms));
 }
 
 } // namespace
