--- a/libcometspindle/gateway/admission/fingerprint.c
+++ b/libcometspindle/gateway/admission/fingerprint.c
@@ -1,6 +1,6 @@
 /*
  * fingerprint.c
- * what makes two requests the same one: their team, method, host, target and body
+ * identity of a request: its team, method, host, target and body
  */
 #include <libcometspindle/gateway/admission/fingerprint.h>
 
@@ -9,9 +9,10 @@
 #include <sodium.h>
 #include <string.h>
 
-/* Adds a part with its length, so that no two lists of parts give the same bytes. */
+/* Hashes a part together with its length, so that two different lists of parts never give the same
+ * input. */
 static void
-add(crypto_generichash_state *state, const void *data, size_t length)
+hash_part(crypto_generichash_state *state, const void *data, size_t length)
 {
 	uint64_t bytes = length;
 
@@ -20,13 +21,13 @@
 }
 
 static void
-add_text(crypto_generichash_state *state, const char *text)
+hash_text(crypto_generichash_state *state, const char *text)
 {
-	add(state, text, strlen(text));
+	hash_part(state, text, strlen(text));
 }
 
-/* A hash that nobody can steer: on an open route any caller could else make a request that counts
- * as another caller's. 2.5 KB of body take some microseconds. */
+/* Uses a cryptographic hash: on an open route any caller could otherwise construct a request that
+ * collides with a request of another caller. A body of 2.5 KB takes some microseconds. */
 struct comet_fingerprint
 comet_fingerprint_of(const struct comet_fingerprint_parts *parts)
 {
@@ -37,11 +38,11 @@
 	crypto_generichash_state state;
 
 	crypto_generichash_init(&state, NULL, 0, sizeof digest);
-	add_text(&state, team);
-	add_text(&state, parts->method);
-	add_text(&state, host);
-	add_text(&state, parts->target);
-	add(&state, parts->body, parts->body_bytes);
+	hash_text(&state, team);
+	hash_text(&state, parts->method);
+	hash_text(&state, host);
+	hash_text(&state, parts->target);
+	hash_part(&state, parts->body, parts->body_bytes);
 	crypto_generichash_final(&state, digest, sizeof digest);
 	g_free(host);
 	memcpy(&fingerprint.digest, digest, sizeof fingerprint.digest);
--- a/libcometspindle/gateway/admission/fingerprint.h
+++ b/libcometspindle/gateway/admission/fingerprint.h
@@ -1,8 +1,9 @@
 /*
  * fingerprint.h
- * what makes two requests the same one: their team, method, host, target and body
+ * identity of a request: its team, method, host, target and body
  *
- * A caller that tries again gives each attempt an id of its own, so that ids do not tell.
+ * Request ids don't identify a repeated request, since a caller that retries gives each attempt a
+ * new id.
  */
 #ifndef COMETSPINDLE_GATEWAY_FINGERPRINT_H
 #define COMETSPINDLE_GATEWAY_FINGERPRINT_H
@@ -11,20 +12,20 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** The same on all VMs. Its team stands beside the digest: requests of two teams are never taken
- * for the same, whatever a team may have found that hashes alike. */
+/** Equal on all VMs for the same request. The team is compared beside the digest, so requests of
+ * two teams never match, even if a team constructs a body with the same digest. */
 struct comet_fingerprint
 {
 	uint64_t digest;
 	uint32_t team; /**< hash of the team's name; 0: a request of an open route */
 };
 
-/** What a fingerprint is made of. */
+/** The parts of a request that its fingerprint covers. */
 struct comet_fingerprint_parts
 {
-	const char *team; /**< NULL: an open route */
+	const char *team; /**< NULL for an open route */
 	const char *method;
-	const char *host; /**< its case does not matter */
+	const char *host; /**< case-insensitive */
 	const char *target;
 	const uint8_t *body;
 	size_t body_bytes;
--- a/libcometspindle/gateway/admission/incarnation_set.c
+++ b/libcometspindle/gateway/admission/incarnation_set.c
@@ -1,6 +1,6 @@
 /*
  * incarnation_set.c
- * a small set of lives of endpoints' processes, which VMs join
+ * a small, bounded set of incarnations of endpoint processes, which VMs merge
  */
 #include <libcometspindle/gateway/admission/incarnation_set.h>
 
--- a/libcometspindle/gateway/admission/incarnation_set.h
+++ b/libcometspindle/gateway/admission/incarnation_set.h
@@ -1,6 +1,6 @@
 /*
  * incarnation_set.h
- * a small set of lives of endpoints' processes, which VMs join
+ * a small, bounded set of incarnations of endpoint processes, which VMs merge
  */
 #ifndef COMETSPINDLE_GATEWAY_INCARNATION_SET_H
 #define COMETSPINDLE_GATEWAY_INCARNATION_SET_H
@@ -9,7 +9,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Lives that a set names: as many as a view tells. */
+/** Capacity of a set: as many incarnations as a record in a gossip message holds. */
 #define COMET_INCARNATION_SET_MAX (sizeof(((comet_Crashed *)0)->lives) / sizeof(uint32_t))
 
 struct comet_incarnation_set
@@ -21,8 +21,8 @@
 bool
 comet_incarnation_set_has(const struct comet_incarnation_set *set, uint32_t incarnation_key);
 
-/** Adds a life; a full set keeps the smallest, so that VMs which were told the same lives in
- * another order keep the same. @return whether the set has changed */
+/** Adds an incarnation. A full set keeps the smallest keys, so that VMs which receive the same
+ * incarnations in different orders end with the same set. @return whether the set has changed */
 bool
 comet_incarnation_set_add(struct comet_incarnation_set *set, uint32_t incarnation_key);
 
