--- a/libcometspindle/gateway/admission/crash_tracker.c
+++ b/libcometspindle/gateway/admission/crash_tracker.c
@@ -1,6 +1,6 @@
 /*
  * crash_tracker.c
- * requests under which endpoints' processes crashed, as this VM and the others saw it
+ * requests that crash endpoint processes, as seen by this VM and by its peers
  */
 #include <libcometspindle/gateway/admission/crash_tracker.h>
 
@@ -10,50 +10,51 @@
 #include <string.h>
 #include <talloc.h>
 
-/* A request is barred after so many crashes: the users allow it three. Fewer would shut out
- * requests that two endpoints in a row left for reasons of their own. */
-#define CRASHES_MAX 3
+/* Crashes after which a request is quarantined; the requirement allows three. A lower limit would
+ * reject requests whose endpoints failed twice in a row for unrelated reasons. */
+#define QUARANTINE_CRASHES 3
 
-/* A request that was served within this time does not crash what runs it: one that many callers
- * send is under way wherever an endpoint dies. An engine that begins to crash under a request it
- * served before is found this much later. */
-#define SOUND_US 30000000
+/* A request that was served within this time is not blamed for a crash: a request that many callers
+ * send is running on any endpoint that fails. An engine that starts to crash under a request it
+ * served before is detected this much later. */
+#define RECENTLY_SERVED_US 30000000
 
-/* Served requests that are remembered; a power of two. At 20 a second, three minutes of them. */
+/* Slots of the table of served requests; a power of two. At 20 requests per second it covers three
+ * minutes. */
 #define SERVED_MAX 4096
 
-/* A record is kept for this time after its last crash: a repaired engine is out by then, and a
- * request that was barred for no fault of its own can be served again. */
-#define KEEP_US 3600000000
+/* Time after the last crash for which a record is kept. A repaired engine is deployed by then, and
+ * a request that was quarantined by mistake can be served again. */
+#define RECORD_LIFETIME_US 3600000000
 
-/* Records of a team, and of all: 4,096 take 0.6 MB. No team's records push out another's before
- * 64 teams have as many. */
+/* Records of one team, and of all teams: 4096 records take 0.6 MB. No team evicts the records of
+ * another before 64 teams have reached their limit. */
 #define TEAM_RECORDS_MAX 64
 #define RECORDS_MAX 4096
 
-/* What is old is looked for so often: its times are seconds and more. */
+/* Interval of the search for expired entries; their lifetimes are seconds and longer. */
 #define TICK_US 1000000
 
-/* A record is told first in every view for this time after it has changed: views are at most two
- * seconds apart, and one may be lost. */
-#define NEWS_US 5000000
+/* Time after a change for which a record is sent first in each gossip message: messages are at most
+ * two seconds apart, and one may be lost. */
+#define NEW_RECORD_US 5000000
 
 /* What is known of a request. */
 struct record
 {
 	struct comet_fingerprint request;
 	struct comet_incarnation_set crashed;
-	struct comet_incarnation_set excused; /* those of them that were not its doing */
-	uint64_t last_us;                     /* the last crash */
+	struct comet_incarnation_set excused; /* crashes that the request did not cause */
+	uint64_t last_crash_us;
 	uint64_t changed_us;
-	bool barred;
+	bool quarantined;
 };
 
 /* A request that was served. */
 struct served
 {
 	struct comet_fingerprint request;
-	uint64_t at_us; /* 0: none */
+	uint64_t at_us; /* 0: the slot is empty */
 };
 
 struct comet_crash_tracker
@@ -62,9 +63,9 @@
 	void *ctx;
 	GHashTable *records; /* fingerprint -> struct record */
 	struct comet_crash_suspects *crash_suspects;
-	uint64_t ticked_us;
-	uint32_t new_turn; /* where views go on with records that are new */
-	uint32_t old_turn; /* and with the others */
+	uint64_t last_tick_us;
+	uint32_t new_position; /* where the next message continues among the records that are new */
+	uint32_t old_position; /* and among the others */
 	struct served served[SERVED_MAX];
 };
 
@@ -83,7 +84,7 @@
 }
 
 static int
-crashes_destroy(struct comet_crash_tracker *crash_tracker)
+tracker_destroy(struct comet_crash_tracker *crash_tracker)
 {
 	g_hash_table_destroy(crash_tracker->records);
 	return 0;
@@ -99,38 +100,40 @@
 	crash_tracker->records =
 		g_hash_table_new_full(hash_fingerprint, equal_fingerprints, NULL, g_free);
 	crash_tracker->crash_suspects = comet_crash_suspects_create(crash_tracker);
-	talloc_set_destructor(crash_tracker, crashes_destroy);
+	talloc_set_destructor(crash_tracker, tracker_destroy);
 	return crash_tracker;
 }
 
 static struct record *
-find(const struct comet_crash_tracker *crash_tracker, const struct comet_fingerprint *request)
+find_record(
+	const struct comet_crash_tracker *crash_tracker, const struct comet_fingerprint *request)
 {
 	return g_hash_table_lookup(crash_tracker->records, request);
 }
 
-/* Crashes that count against a request, as far as it alone tells. */
+/* Crashes that are not excused, before those explained by other requests are subtracted. */
 static uint32_t
-counted(const struct record *record)
+count_crashes(const struct record *record)
 {
-	uint32_t sum = 0;
+	uint32_t count = 0;
 
 	for (uint32_t i = 0; i < record->crashed.count; i++)
-		sum += comet_incarnation_set_has(&record->excused, record->crashed.lives[i]) ? 0
-											     : 1;
-	return sum;
+		count += comet_incarnation_set_has(&record->excused, record->crashed.lives[i]) ? 0
+											       : 1;
+	return count;
 }
 
-/* Is this crash the doing of a request that crashed more than the record's? */
+/* Returns whether another request, with more crashes than this one, explains a crash. */
 static bool
-is_explained(const GPtrArray *heavy, const struct record *record, uint32_t incarnation_key)
+is_explained_by_other(
+	const GPtrArray *candidates, const struct record *record, uint32_t incarnation_key)
 {
-	uint32_t own = counted(record);
+	uint32_t crashes = count_crashes(record);
 
-	for (guint i = 0; i < heavy->len; i++)
+	for (guint i = 0; i < candidates->len; i++)
 	{
-		const struct record *other = heavy->pdata[i];
-		if (other != record && counted(other) > own &&
+		const struct record *other = candidates->pdata[i];
+		if (other != record && count_crashes(other) > crashes &&
 			comet_incarnation_set_has(&other->crashed, incarnation_key) &&
 			!comet_incarnation_set_has(&other->excused, incarnation_key))
 			return true;
@@ -139,97 +142,103 @@
 }
 
 static uint32_t
-counted_and_unexplained(const GPtrArray *heavy, const struct record *record)
+count_unexplained_crashes(const GPtrArray *candidates, const struct record *record)
 {
-	uint32_t sum = 0;
+	uint32_t count = 0;
 
 	for (uint32_t i = 0; i < record->crashed.count; i++)
 	{
 		uint32_t incarnation_key = record->crashed.lives[i];
 		if (!comet_incarnation_set_has(&record->excused, incarnation_key) &&
-			!is_explained(heavy, record, incarnation_key))
-			sum++;
+			!is_explained_by_other(candidates, record, incarnation_key))
+			count++;
 	}
-	return sum;
+	return count;
 }
 
-/* Decides anew who is barred. It follows from the records alone, so that VMs which know the same
- * decide the same: were the first to reach the bound the one to blame, a VM that heard of another
- * first would blame that one, and both would go free once they told each other. */
+/* Decides again which requests are quarantined. The result depends on the records alone, so VMs
+ * with the same records agree. If the first request to reach the limit were blamed, a VM that
+ * learned of another request first would blame that one, and both would be released once the VMs
+ * exchanged their records. */
 static void
-decide(struct comet_crash_tracker *crash_tracker, bool own)
+update_quarantine(struct comet_crash_tracker *crash_tracker, bool detected_here)
 {
-	GPtrArray *heavy = g_ptr_array_new();
-	GHashTableIter at;
+	GPtrArray *candidates = g_ptr_array_new();
+	GHashTableIter iter;
 	gpointer value = NULL;
 
-	g_hash_table_iter_init(&at, crash_tracker->records);
-	while (g_hash_table_iter_next(&at, NULL, &value))
+	g_hash_table_iter_init(&iter, crash_tracker->records);
+	while (g_hash_table_iter_next(&iter, NULL, &value))
 	{
-		if (counted(value) >= CRASHES_MAX)
-			g_ptr_array_add(heavy, value);
+		if (count_crashes(value) >= QUARANTINE_CRASHES)
+			g_ptr_array_add(candidates, value);
 	}
-	g_hash_table_iter_init(&at, crash_tracker->records);
-	while (g_hash_table_iter_next(&at, NULL, &value))
+	g_hash_table_iter_init(&iter, crash_tracker->records);
+	while (g_hash_table_iter_next(&iter, NULL, &value))
 	{
 		struct record *record = value;
-		bool barred = counted(record) >= CRASHES_MAX &&
-			      counted_and_unexplained(heavy, record) >= CRASHES_MAX;
-		if (barred == record->barred)
+		bool quarantined =
+			count_crashes(record) >= QUARANTINE_CRASHES &&
+			count_unexplained_crashes(candidates, record) >= QUARANTINE_CRASHES;
+		if (quarantined == record->quarantined)
 			continue;
-		record->barred = barred;
+		record->quarantined = quarantined;
 		crash_tracker->ops->news(crash_tracker->ctx, &record->request,
-			barred ? COMET_CRASH_TRACKER_QUARANTINED : COMET_CRASH_TRACKER_RELEASED,
-			counted(record), own);
+			quarantined ? COMET_CRASH_TRACKER_QUARANTINED
+				    : COMET_CRASH_TRACKER_RELEASED,
+			count_crashes(record), detected_here);
 	}
-	g_ptr_array_free(heavy, TRUE);
+	g_ptr_array_free(candidates, TRUE);
 }
 
-/* Is this record worth less than the other? Fewer crashes, then an earlier last one. */
+/* Returns whether a record is evicted before the other: the one with fewer crashes, then the one
+ * whose last crash is older. */
 static bool
-is_weaker(const struct record *one, const struct record *other)
+is_evicted_before(const struct record *one, const struct record *other)
 {
-	if (counted(one) != counted(other))
-		return counted(one) < counted(other);
-	return one->last_us < other->last_us;
+	if (count_crashes(one) != count_crashes(other))
+		return count_crashes(one) < count_crashes(other);
+	return one->last_crash_us < other->last_crash_us;
 }
 
-/* Makes room for a record: a team that has many gives one of its own. */
+/* Evicts a record if there is no space for another: one of the same team if that team has reached
+ * its limit, else one of any team. */
 static void
-make_room(struct comet_crash_tracker *crash_tracker, uint32_t team)
+evict_if_full(struct comet_crash_tracker *crash_tracker, uint32_t team)
 {
-	struct record *weakest = NULL;
-	struct record *weakest_of_team = NULL;
-	uint32_t of_team = 0;
-	GHashTableIter at;
+	struct record *victim = NULL;
+	struct record *team_victim = NULL;
+	uint32_t team_count = 0;
+	GHashTableIter iter;
 	gpointer value = NULL;
 
-	g_hash_table_iter_init(&at, crash_tracker->records);
-	while (g_hash_table_iter_next(&at, NULL, &value))
+	g_hash_table_iter_init(&iter, crash_tracker->records);
+	while (g_hash_table_iter_next(&iter, NULL, &value))
 	{
 		struct record *record = value;
-		if (weakest == NULL || is_weaker(record, weakest))
-			weakest = record;
+		if (victim == NULL || is_evicted_before(record, victim))
+			victim = record;
 		if (record->request.team != team)
 			continue;
-		of_team++;
-		if (weakest_of_team == NULL || is_weaker(record, weakest_of_team))
-			weakest_of_team = record;
+		team_count++;
+		if (team_victim == NULL || is_evicted_before(record, team_victim))
+			team_victim = record;
 	}
-	if (of_team >= TEAM_RECORDS_MAX)
-		g_hash_table_remove(crash_tracker->records, &weakest_of_team->request);
+	if (team_count >= TEAM_RECORDS_MAX)
+		g_hash_table_remove(crash_tracker->records, &team_victim->request);
 	else if (g_hash_table_size(crash_tracker->records) >= RECORDS_MAX)
-		g_hash_table_remove(crash_tracker->records, &weakest->request);
+		g_hash_table_remove(crash_tracker->records, &victim->request);
 }
 
 static struct record *
-find_or_add(struct comet_crash_tracker *crash_tracker, const struct comet_fingerprint *request)
+find_or_add_record(
+	struct comet_crash_tracker *crash_tracker, const struct comet_fingerprint *request)
 {
-	struct record *record = find(crash_tracker, request);
+	struct record *record = find_record(crash_tracker, request);
 
 	if (record == NULL)
 	{
-		make_room(crash_tracker, request->team);
+		evict_if_full(crash_tracker, request->team);
 		record = g_new0(struct record, 1);
 		record->request = *request;
 		g_hash_table_insert(crash_tracker->records, &record->request, record);
@@ -237,9 +246,9 @@
 	return record;
 }
 
-/* Excuses all crashes of a record. @return whether any was not excused before */
+/* Excuses all crashes of a record. @return whether any of them was not excused before */
 static bool
-excuse(struct record *record)
+excuse_all(struct record *record)
 {
 	bool changed = false;
 
@@ -250,71 +259,70 @@
 }
 
 static struct served *
-place_of(struct comet_crash_tracker *crash_tracker, const struct comet_fingerprint *request)
+served_slot(struct comet_crash_tracker *crash_tracker, const struct comet_fingerprint *request)
 {
 	return &crash_tracker->served[hash_fingerprint(request) % SERVED_MAX];
 }
 
-/* Was it served of late? */
 static bool
-is_sound(struct comet_crash_tracker *crash_tracker, const struct comet_fingerprint *request,
-	uint64_t now_us)
+was_recently_served(struct comet_crash_tracker *crash_tracker,
+	const struct comet_fingerprint *request, uint64_t now_us)
 {
-	const struct served *served = place_of(crash_tracker, request);
+	const struct served *served = served_slot(crash_tracker, request);
 
-	return served->at_us != 0 && now_us - served->at_us < SOUND_US &&
+	return served->at_us != 0 && now_us - served->at_us < RECENTLY_SERVED_US &&
 	       comet_fingerprint_equal(&served->request, request);
 }
 
-/* A record has changed: what follows from it. */
+/* Reports a changed record and updates the quarantine. */
 static void
-record_changed(
-	struct comet_crash_tracker *crash_tracker, struct record *record, bool own, uint64_t now_us)
+apply_change(struct comet_crash_tracker *crash_tracker, struct record *record, bool detected_here,
+	uint64_t now_us)
 {
 	record->changed_us = now_us;
-	if (is_sound(crash_tracker, &record->request, now_us) && excuse(record))
+	if (was_recently_served(crash_tracker, &record->request, now_us) && excuse_all(record))
 		crash_tracker->ops->news(
 			crash_tracker->ctx, &record->request, COMET_CRASH_TRACKER_CLEARED, 0, true);
 	else
 		crash_tracker->ops->news(crash_tracker->ctx, &record->request,
-			COMET_CRASH_TRACKER_COUNTED, counted(record), own);
-	decide(crash_tracker, own);
+			COMET_CRASH_TRACKER_COUNTED, count_crashes(record), detected_here);
+	update_quarantine(crash_tracker, detected_here);
 }
 
-/* An endpoint's process crashed under the request. */
+/* Counts the crash of a process against a request. */
 static void
-blame(struct comet_crash_tracker *crash_tracker, const struct comet_fingerprint *request,
+add_crash(struct comet_crash_tracker *crash_tracker, const struct comet_fingerprint *request,
 	uint32_t incarnation_key, uint64_t now_us)
 {
-	struct record *record = find_or_add(crash_tracker, request);
+	struct record *record = find_or_add_record(crash_tracker, request);
 
 	if (!comet_incarnation_set_add(&record->crashed, incarnation_key))
 		return;
-	record->last_us = now_us;
-	record_changed(crash_tracker, record, true, now_us);
+	record->last_crash_us = now_us;
+	apply_change(crash_tracker, record, true, now_us);
 }
 
 bool
 comet_crash_tracker_is_quarantined(
 	struct comet_crash_tracker *crash_tracker, const struct comet_fingerprint *request)
 {
-	const struct record *record = find(crash_tracker, request);
+	const struct record *record = find_record(crash_tracker, request);
 
-	return record != NULL && record->barred;
+	return record != NULL && record->quarantined;
 }
 
 bool
 comet_crash_tracker_is_undecided(struct comet_crash_tracker *crash_tracker,
 	const struct comet_fingerprint *request, uint64_t now_us)
 {
-	const struct record *record = find(crash_tracker, request);
-	uint32_t sum = record != NULL ? counted(record) : 0;
+	const struct record *record = find_record(crash_tracker, request);
+	uint32_t count = record != NULL ? count_crashes(record) : 0;
 
-	if (sum == 0)
+	if (count == 0)
 		return false;
-	return sum + comet_crash_suspects_count_request(
-			     crash_tracker->crash_suspects, request, now_us) >=
-	       CRASHES_MAX;
+	return count + comet_crash_suspects_count_request(
+			       crash_tracker->crash_suspects, request, now_us) >=
+	       QUARANTINE_CRASHES;
 }
 
 void
@@ -323,7 +331,7 @@
 {
 	if (comet_crash_suspects_has_ended(
 		    crash_tracker->crash_suspects, run->incarnation_key, run->last_seen_us))
-		blame(crash_tracker, &run->request, run->incarnation_key, now_us);
+		add_crash(crash_tracker, &run->request, run->incarnation_key, now_us);
 	else
 		comet_crash_suspects_add(crash_tracker->crash_suspects, run, now_us);
 }
@@ -335,8 +343,8 @@
 	GList *requests = comet_crash_suspects_process_crashed(
 		crash_tracker->crash_suspects, incarnation_key, last_seen_us, now_us);
 
-	for (GList *at = requests; at != NULL; at = at->next)
-		blame(crash_tracker, at->data, incarnation_key, now_us);
+	for (GList *link = requests; link != NULL; link = link->next)
+		add_crash(crash_tracker, link->data, incarnation_key, now_us);
 	g_list_free_full(requests, g_free);
 }
 
@@ -351,89 +359,91 @@
 comet_crash_tracker_served(struct comet_crash_tracker *crash_tracker,
 	const struct comet_fingerprint *request, uint64_t now_us)
 {
-	struct record *record = find(crash_tracker, request);
+	struct record *record = find_record(crash_tracker, request);
 
-	*place_of(crash_tracker, request) = (struct served){.request = *request, .at_us = now_us};
-	if (record == NULL || !excuse(record))
+	*served_slot(crash_tracker, request) =
+		(struct served){.request = *request, .at_us = now_us};
+	if (record == NULL || !excuse_all(record))
 		return;
 	record->changed_us = now_us;
 	crash_tracker->ops->news(crash_tracker->ctx, request, COMET_CRASH_TRACKER_CLEARED, 0, true);
-	decide(crash_tracker, true);
+	update_quarantine(crash_tracker, true);
 }
 
 void
 comet_crash_tracker_tick(struct comet_crash_tracker *crash_tracker, uint64_t now_us)
 {
-	GHashTableIter at;
+	GHashTableIter iter;
 	gpointer value = NULL;
 
-	if (now_us - crash_tracker->ticked_us < TICK_US)
+	if (now_us - crash_tracker->last_tick_us < TICK_US)
 		return;
-	crash_tracker->ticked_us = now_us;
+	crash_tracker->last_tick_us = now_us;
 	comet_crash_suspects_tick(crash_tracker->crash_suspects, now_us);
-	g_hash_table_iter_init(&at, crash_tracker->records);
-	while (g_hash_table_iter_next(&at, NULL, &value))
+	g_hash_table_iter_init(&iter, crash_tracker->records);
+	while (g_hash_table_iter_next(&iter, NULL, &value))
 	{
 		const struct record *record = value;
-		if (now_us - record->last_us > KEEP_US)
-			g_hash_table_iter_remove(&at);
+		if (now_us - record->last_crash_us > RECORD_LIFETIME_US)
+			g_hash_table_iter_remove(&iter);
 	}
 }
 
 static void
-put_set(const struct comet_incarnation_set *set, uint32_t *lives, pb_size_t *count)
+encode_set(const struct comet_incarnation_set *set, uint32_t *lives, pb_size_t *count)
 {
 	memcpy(lives, set->lives, set->count * sizeof set->lives[0]);
 	*count = (pb_size_t)set->count;
 }
 
 static void
-put_record(const struct record *record, comet_Crashed *out, uint64_t now_us)
+encode_record(const struct record *record, comet_Crashed *out, uint64_t now_us)
 {
 	memset(out, 0, sizeof *out);
 	out->digest = record->request.digest;
 	out->team = record->request.team;
-	put_set(&record->crashed, out->lives, &out->lives_count);
-	put_set(&record->excused, out->excused, &out->excused_count);
-	out->age_ms = (uint32_t)((now_us - record->last_us) / 1000);
+	encode_set(&record->crashed, out->lives, &out->lives_count);
+	encode_set(&record->excused, out->excused, &out->excused_count);
+	out->age_ms = (uint32_t)((now_us - record->last_crash_us) / 1000);
 }
 
 static bool
 is_new(const struct record *record, uint64_t now_us)
 {
-	return now_us - record->changed_us < NEWS_US;
+	return now_us - record->changed_us < NEW_RECORD_US;
 }
 
-/* Those that are new, or the others: from the turn on, so that a team whose requests crash many
- * endpoints does not keep others' records from being told. */
+/* Encodes records that are new, or the others. Each call continues where the last one stopped, so
+ * that a team whose requests crash many endpoints does not delay the records of other teams. */
 static size_t
-put_some(struct comet_crash_tracker *crash_tracker, comet_Crashed *records, size_t most,
-	bool new_ones, uint64_t now_us)
+encode_some(struct comet_crash_tracker *crash_tracker, comet_Crashed *records, size_t max_records,
+	bool only_new, uint64_t now_us)
 {
-	uint32_t *turn = new_ones ? &crash_tracker->new_turn : &crash_tracker->old_turn;
+	uint32_t *position = only_new ? &crash_tracker->new_position : &crash_tracker->old_position;
 	size_t count = 0;
 	uint32_t index = 0;
-	GHashTableIter at;
+	GHashTableIter iter;
 	gpointer value = NULL;
 
-	g_hash_table_iter_init(&at, crash_tracker->records);
-	while (count < most && g_hash_table_iter_next(&at, NULL, &value))
+	g_hash_table_iter_init(&iter, crash_tracker->records);
+	while (count < max_records && g_hash_table_iter_next(&iter, NULL, &value))
 	{
 		const struct record *record = value;
-		if (is_new(record, now_us) == new_ones && index++ >= *turn)
-			put_record(record, &records[count++], now_us);
+		if (is_new(record, now_us) == only_new && index++ >= *position)
+			encode_record(record, &records[count++], now_us);
 	}
-	*turn = count < most ? 0 : index;
+	*position = count < max_records ? 0 : index;
 	return count;
 }
 
 size_t
 comet_crash_tracker_encode(struct comet_crash_tracker *crash_tracker, comet_Crashed *records,
-	size_t most, uint64_t now_us)
+	size_t max_records, uint64_t now_us)
 {
-	size_t count = put_some(crash_tracker, records, most - 1, true, now_us);
+	size_t count = encode_some(crash_tracker, records, max_records - 1, true, now_us);
 
-	return count + put_some(crash_tracker, records + count, most - count, false, now_us);
+	return count +
+	       encode_some(crash_tracker, records + count, max_records - count, false, now_us);
 }
 
 void
@@ -444,17 +454,19 @@
 	uint64_t age_us = (uint64_t)told->age_ms * 1000;
 	bool changed = false;
 
-	if (told->lives_count == 0 || age_us > KEEP_US)
+	if (told->lives_count == 0 || age_us > RECORD_LIFETIME_US)
 		return;
-	struct record *record = find_or_add(crash_tracker, &request);
+	struct record *record = find_or_add_record(crash_tracker, &request);
 	for (pb_size_t i = 0; i < told->lives_count; i++)
 		changed = comet_incarnation_set_add(&record->crashed, told->lives[i]) || changed;
 	for (pb_size_t i = 0; i < told->excused_count; i++)
 		changed = comet_incarnation_set_add(&record->excused, told->excused[i]) || changed;
+	/* The time of the last crash stays unchanged as well: peers that report the record to each
+	 * other would make it younger each time. */
 	if (!changed)
-		return; /* nor a later crash: told back and forth its age would shrink */
-	record->last_us = MAX(record->last_us, now_us - MIN(age_us, now_us));
-	record_changed(crash_tracker, record, false, now_us);
+		return;
+	record->last_crash_us = MAX(record->last_crash_us, now_us - MIN(age_us, now_us));
+	apply_change(crash_tracker, record, false, now_us);
 }
 
 struct comet_crash_tracker_counts
@@ -464,11 +476,11 @@
 		.records = g_hash_table_size(crash_tracker->records),
 		.crash_suspects = comet_crash_suspects_count(crash_tracker->crash_suspects),
 	};
-	GHashTableIter at;
+	GHashTableIter iter;
 	gpointer value = NULL;
 
-	g_hash_table_iter_init(&at, crash_tracker->records);
-	while (g_hash_table_iter_next(&at, NULL, &value))
-		counts.barred += ((const struct record *)value)->barred ? 1 : 0;
+	g_hash_table_iter_init(&iter, crash_tracker->records);
+	while (g_hash_table_iter_next(&iter, NULL, &value))
+		counts.barred += ((const struct record *)value)->quarantined ? 1 : 0;
 	return counts;
 }
--- a/libcometspindle/gateway/admission/crash_tracker.h
+++ b/libcometspindle/gateway/admission/crash_tracker.h
@@ -1,16 +1,17 @@
 /*
  * crash_tracker.h
- * requests under which endpoints' processes crashed, as this VM and the others saw it
+ * requests that crash endpoint processes, as seen by this VM and by its peers
  *
- * A request that crashes each endpoint which begins to run it comes again, under other ids, at any
- * VM. Each VM counts the processes that crashed under a request, by what it saw and by what the
- * others tell in their views; what is counted is a set of processes' lives, so that it does not
- * matter in which order, how often and by whom one is told. After the third the request is barred:
- * it is sent to no endpoint any more.
+ * A request that crashes every endpoint which runs it arrives again under other ids at any VM. Each
+ * VM counts the processes that crashed under a request, from its own attempts and from gossip. The
+ * count is the size of a set of incarnations, so the order, the number and the source of the
+ * reports do not matter. After the third crash the request is quarantined: it is sent to no
+ * endpoint.
  *
- * A request that merely ran beside such a one, or whose endpoint died of something else, is not
- * barred: what was served shows that it crashes nothing, and a crash that a worse request explains
- * does not count. No sockets and no clock in here: times are passed in.
+ * A request that only ran at the same time as such a request, or whose endpoint crashed for another
+ * reason, is not quarantined: a successful response excuses all earlier crashes of the request, and
+ * a crash that is explained by a request with more crashes does not count. This module uses no
+ * sockets and no clock; the caller passes the time.
  */
 #ifndef COMETSPINDLE_GATEWAY_CRASH_TRACKER_H
 #define COMETSPINDLE_GATEWAY_CRASH_TRACKER_H
@@ -21,28 +22,28 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** What has become known of a request. */
+/** A change in what is known of a request. */
 enum comet_crash_tracker_event
 {
-	COMET_CRASH_TRACKER_COUNTED,     /**< another endpoint's process crashed under it */
-	COMET_CRASH_TRACKER_QUARANTINED, /**< it is not to be sent any more */
-	COMET_CRASH_TRACKER_RELEASED,    /**< it may be sent again */
-	COMET_CRASH_TRACKER_CLEARED, /**< it was served: the crashes so far were not its doing */
+	COMET_CRASH_TRACKER_COUNTED,     /**< another process crashed under the request */
+	COMET_CRASH_TRACKER_QUARANTINED, /**< the request must not be sent any more */
+	COMET_CRASH_TRACKER_RELEASED,    /**< the request may be sent again */
+	COMET_CRASH_TRACKER_CLEARED,     /**< it was served, so its earlier crashes are excused */
 };
 
 struct comet_crash_tracker_ops
 {
-	/** lives: processes that crashed under it and count; own: this VM found it out, no other
-	 * has told it. */
+	/** Reports a change, with the number of processes whose crashes count against the request.
+	 * detected_here is false if a peer reported the change. */
 	void (*news)(void *ctx, const struct comet_fingerprint *request,
-		enum comet_crash_tracker_event news, uint32_t lives, bool own);
+		enum comet_crash_tracker_event event, uint32_t lives, bool detected_here);
 };
 
-/** How many of each there are. */
+/** Sizes of the tracker's tables. */
 struct comet_crash_tracker_counts
 {
-	uint32_t records; /**< requests under which any endpoint crashed */
-	uint32_t barred;  /**< requests */
+	uint32_t records; /**< requests under which at least one process crashed */
+	uint32_t barred;  /**< quarantined requests */
 	uint32_t crash_suspects;
 };
 
@@ -51,60 +52,61 @@
 struct comet_crash_tracker *
 comet_crash_tracker_create(void *parent, const struct comet_crash_tracker_ops *ops, void *ctx);
 
-/** @return whether the request is not to be sent to any endpoint. */
+/** @return whether the request must not be sent to any endpoint. */
 bool
 comet_crash_tracker_is_quarantined(
 	struct comet_crash_tracker *crash_tracker, const struct comet_fingerprint *request);
 
 /**
- * @return whether a request that has crashed an endpoint may just have crashed others, so that it
- * would be barred: it is not to be sent before that is known.
+ * @return whether a request that has crashed an endpoint has further attempts whose processes may
+ * have crashed too, which would quarantine it. The caller must not send the request until that is
+ * known.
  */
 bool
 comet_crash_tracker_is_undecided(struct comet_crash_tracker *crash_tracker,
 	const struct comet_fingerprint *request, uint64_t now_us);
 
-/** A run of a request at an endpoint that ended without an answer. */
+/** An attempt of a request at an endpoint that ended without a response. */
 struct comet_crash_tracker_run
 {
 	struct comet_fingerprint request;
 	uint32_t incarnation_key; /**< of the endpoint's process */
-	uint64_t last_seen_us;    /**< when that life was last heard */
-	bool cancelled;           /**< its caller left, while the process worked */
+	uint64_t last_seen_us;    /**< when that incarnation was last seen alive */
+	bool cancelled; /**< the caller disconnected while the process was running the request */
 };
 
-/** The run is counted if that life turns out to have ended with it, or has, and nothing was heard
- * of it since. */
+/** Records an attempt. It counts as a crash if its incarnation has crashed or crashes later, and
+ * was not seen alive after the attempt ended. */
 void
 comet_crash_tracker_add_suspect(struct comet_crash_tracker *crash_tracker,
 	const struct comet_crash_tracker_run *run, uint64_t now_us);
 
-/** That life of an endpoint's process ended unplanned; last_seen_us: when it was last heard. */
+/** An incarnation of an endpoint's process crashed; last_seen_us is when it was last seen alive. */
 void
 comet_crash_tracker_process_crashed(struct comet_crash_tracker *crash_tracker,
 	uint32_t incarnation_key, uint64_t last_seen_us, uint64_t now_us);
 
-/** That life ended as planned: nobody crashed it. */
+/** An incarnation exited as planned, so its attempts do not count as crashes. */
 void
 comet_crash_tracker_process_exited(
 	struct comet_crash_tracker *crash_tracker, uint32_t incarnation_key);
 
-/** An endpoint answered the request with success. */
+/** An endpoint returned a successful response to the request. */
 void
 comet_crash_tracker_served(struct comet_crash_tracker *crash_tracker,
 	const struct comet_fingerprint *request, uint64_t now_us);
 
-/** Forgets what is old; call about once a second or more often. */
+/** Drops expired records and suspects; call at least once a second. */
 void
 comet_crash_tracker_tick(struct comet_crash_tracker *crash_tracker, uint64_t now_us);
 
-/** Writes up to most records for a view, the newest first and the others in turn.
- * @return their number */
+/** Encodes at most max_records records for a gossip message: recently changed ones first, then the
+ * others in turn. @return the number of encoded records */
 size_t
 comet_crash_tracker_encode(struct comet_crash_tracker *crash_tracker, comet_Crashed *records,
-	size_t most, uint64_t now_us);
+	size_t max_records, uint64_t now_us);
 
-/** Another VM's view tells of a request. */
+/** Merges a record that a peer reported. */
 void
 comet_crash_tracker_merge(
 	struct comet_crash_tracker *crash_tracker, const comet_Crashed *told, uint64_t now_us);
