--- a/tests/unit/test_crashes.cc
+++ b/tests/unit/test_crashes.cc
@@ -1,6 +1,6 @@
 /*
  * test_crashes.cc
- * which requests are barred, by what one VM saw and others told, in whatever order
+ * which requests are quarantined, from a VM's own attempts and from gossip in any order
  */
 #include <gtest/gtest.h>
 
@@ -20,7 +20,7 @@
 const uint64_t SECOND_US = 1000000;
 const uint64_t MINUTE_US = 60 * SECOND_US;
 
-/* A VM that knows of crashes. */
+/* A VM with a crash tracker. */
 struct Vm
 {
 	Vm()
@@ -36,16 +36,16 @@
 	Vm(const Vm &) = delete;
 
 	static void
-	on_news(void *ctx, const comet_fingerprint *, comet_crash_tracker_event news, uint32_t,
+	on_event(void *ctx, const comet_fingerprint *, comet_crash_tracker_event event, uint32_t,
 		bool)
 	{
-		((Vm *)ctx)->news[news]++;
+		((Vm *)ctx)->events[event]++;
 	}
 
-	/* Its run at that life breaks off. */
+	/* An attempt at that incarnation ends without a response. */
 	void
-	suspect(const comet_fingerprint &request, uint32_t incarnation_key, uint64_t last_seen_us,
-		uint64_t now_us, bool cancelled = false)
+	add_suspect(const comet_fingerprint &request, uint32_t incarnation_key,
+		uint64_t last_seen_us, uint64_t now_us, bool cancelled = false)
 	{
 		const comet_crash_tracker_run run = {
 			request, incarnation_key, last_seen_us, cancelled};
@@ -57,20 +57,20 @@
 	void
 	crash(const comet_fingerprint &request, uint32_t incarnation_key, uint64_t now_us)
 	{
-		suspect(request, incarnation_key, now_us, now_us);
+		add_suspect(request, incarnation_key, now_us, now_us);
 		comet_crash_tracker_process_crashed(
 			crash_tracker, incarnation_key, now_us, now_us + SECOND_US / 2);
 	}
 
 	bool
-	bars(const comet_fingerprint &request)
+	is_quarantined(const comet_fingerprint &request)
 	{
 		return comet_crash_tracker_is_quarantined(crash_tracker, &request);
 	}
 
-	/* Sends a view to another VM. */
+	/* Sends a gossip message to another VM. */
 	void
-	tell(Vm &other, uint64_t now_us)
+	gossip_to(Vm &other, uint64_t now_us)
 	{
 		comet_Crashed records[4];
 		size_t count = comet_crash_tracker_encode(crash_tracker, records, 4, now_us);
@@ -82,81 +82,83 @@
 
 	static const comet_crash_tracker_ops ops;
 	comet_crash_tracker *crash_tracker;
-	int news[4] = {};
+	int events[4] = {};
 };
 
-const comet_crash_tracker_ops Vm::ops = {on_news};
+const comet_crash_tracker_ops Vm::ops = {on_event};
 
 const comet_fingerprint REQUEST = {77, 1};
 
-TEST(Crashes, TheThirdBars)
+TEST(Crashes, ThirdCrashQuarantines)
 {
 	Vm vm;
 
 	vm.crash(REQUEST, 1, MINUTE_US);
 	vm.crash(REQUEST, 2, MINUTE_US);
-	vm.crash(REQUEST, 2, MINUTE_US); /* the same life tells nothing new */
-	EXPECT_FALSE(vm.bars(REQUEST));
+	vm.crash(REQUEST, 2, MINUTE_US); /* a repeated crash of one incarnation counts once */
+	EXPECT_FALSE(vm.is_quarantined(REQUEST));
 	vm.crash(REQUEST, 3, MINUTE_US);
-	EXPECT_TRUE(vm.bars(REQUEST));
-	EXPECT_EQ(vm.news[COMET_CRASH_TRACKER_QUARANTINED], 1);
+	EXPECT_TRUE(vm.is_quarantined(REQUEST));
+	EXPECT_EQ(vm.events[COMET_CRASH_TRACKER_QUARANTINED], 1);
 }
 
-/* Two teams may send the same bytes, and one team may have found bytes that hash like another's. */
-TEST(Crashes, AnotherTeamsRequestIsAnother)
+/* Two teams may send the same bytes, and a team may construct a body with the digest of another
+ * team's request. */
+TEST(Crashes, RequestsOfTwoTeamsAreDistinct)
 {
 	Vm vm;
 
 	for (uint32_t incarnation_key = 1; incarnation_key <= 5; incarnation_key++)
 		vm.crash(REQUEST, incarnation_key, MINUTE_US);
-	EXPECT_TRUE(vm.bars(REQUEST));
-	EXPECT_FALSE(vm.bars({REQUEST.digest, 2}));
-	EXPECT_FALSE(vm.bars({REQUEST.digest + 1, REQUEST.team}));
+	EXPECT_TRUE(vm.is_quarantined(REQUEST));
+	EXPECT_FALSE(vm.is_quarantined({REQUEST.digest, 2}));
+	EXPECT_FALSE(vm.is_quarantined({REQUEST.digest + 1, REQUEST.team}));
 }
 
-TEST(Crashes, WhatIsHeardLaterWasNotCrashed)
+TEST(Crashes, CrashAfterTheProcessWasSeenAliveIsNotCounted)
 {
 	Vm vm;
 
 	for (uint32_t incarnation_key = 1; incarnation_key <= 5; incarnation_key++)
 	{
-		/* its connection broke; the process answered others for a second, and crashed later
-		 */
-		vm.suspect(REQUEST, incarnation_key, MINUTE_US, MINUTE_US);
+		/* The connection broke, but the process served other requests for a second and
+		 * crashed afterwards. */
+		vm.add_suspect(REQUEST, incarnation_key, MINUTE_US, MINUTE_US);
 		comet_crash_tracker_process_crashed(vm.crash_tracker, incarnation_key,
 			MINUTE_US + SECOND_US, MINUTE_US + 2 * SECOND_US);
 	}
 	EXPECT_EQ(comet_crash_tracker_count(vm.crash_tracker).records, 0U);
 }
 
-/* The bytes that the process had sent to others may be read a little later. */
-TEST(Crashes, WhatWasUnderWayIsHeardALittleLater)
+/* Bytes that the process sent on other connections may be read shortly after the attempt ended. */
+TEST(Crashes, CrashWithinTheLastSeenMarginCounts)
 {
 	Vm vm;
 
-	vm.suspect(REQUEST, 1, MINUTE_US, MINUTE_US);
+	vm.add_suspect(REQUEST, 1, MINUTE_US, MINUTE_US);
 	comet_crash_tracker_process_crashed(
 		vm.crash_tracker, 1, MINUTE_US + 50000, MINUTE_US + SECOND_US);
 	EXPECT_EQ(comet_crash_tracker_count(vm.crash_tracker).records, 1U);
 }
 
-TEST(Crashes, APlannedEndIsNoCrash)
+TEST(Crashes, PlannedExitIsNotACrash)
 {
 	Vm vm;
 
 	for (uint32_t incarnation_key = 1; incarnation_key <= 5; incarnation_key++)
 	{
-		vm.suspect(REQUEST, incarnation_key, MINUTE_US, MINUTE_US);
+		vm.add_suspect(REQUEST, incarnation_key, MINUTE_US, MINUTE_US);
 		comet_crash_tracker_process_exited(vm.crash_tracker, incarnation_key);
 		comet_crash_tracker_process_crashed(
 			vm.crash_tracker, incarnation_key, MINUTE_US, MINUTE_US + SECOND_US);
 	}
-	EXPECT_FALSE(vm.bars(REQUEST));
+	EXPECT_FALSE(vm.is_quarantined(REQUEST));
 	EXPECT_EQ(comet_crash_tracker_count(vm.crash_tracker).crash_suspects, 0U);
 }
 
-/* A run whose end is noticed after that of its process, as in silence. */
-TEST(Crashes, ARunThatEndsAfterItsProcessCounts)
+/* The end of an attempt may be detected after the crash of its process, as happens with an
+ * unresponsive endpoint. */
+TEST(Crashes, AttemptThatEndsAfterTheCrashCounts)
 {
 	Vm vm;
 
@@ -164,68 +166,69 @@
 	{
 		comet_crash_tracker_process_crashed(
 			vm.crash_tracker, incarnation_key, MINUTE_US, MINUTE_US + 1);
-		vm.suspect(REQUEST, incarnation_key, MINUTE_US, MINUTE_US + SECOND_US);
+		vm.add_suspect(REQUEST, incarnation_key, MINUTE_US, MINUTE_US + SECOND_US);
 	}
-	EXPECT_TRUE(vm.bars(REQUEST));
+	EXPECT_TRUE(vm.is_quarantined(REQUEST));
 }
 
-/* What is not known yet is taken into account before a request that has crashed an endpoint is sent
- * again. */
-TEST(Crashes, ARequestIsDoubtedBeforeItIsBarred)
+/* Attempts whose processes may have crashed are taken into account before a request that has
+ * crashed an endpoint is sent again. */
+TEST(Crashes, RequestIsUndecidedBeforeItIsQuarantined)
 {
 	Vm vm;
 
-	vm.suspect(REQUEST, 2, MINUTE_US, MINUTE_US);
-	vm.suspect(REQUEST, 3, MINUTE_US, MINUTE_US);
-	vm.suspect(REQUEST, 4, MINUTE_US, MINUTE_US, true);
+	vm.add_suspect(REQUEST, 2, MINUTE_US, MINUTE_US);
+	vm.add_suspect(REQUEST, 3, MINUTE_US, MINUTE_US);
+	vm.add_suspect(REQUEST, 4, MINUTE_US, MINUTE_US, true);
 	EXPECT_FALSE(comet_crash_tracker_is_undecided(
-		vm.crash_tracker, &REQUEST, MINUTE_US)); /* nothing has crashed */
+		vm.crash_tracker, &REQUEST, MINUTE_US)); /* no crash is known */
 	vm.crash(REQUEST, 1, MINUTE_US);
 	EXPECT_TRUE(comet_crash_tracker_is_undecided(
 		vm.crash_tracker, &REQUEST, MINUTE_US + SECOND_US));
-	EXPECT_FALSE(vm.bars(REQUEST));
+	EXPECT_FALSE(vm.is_quarantined(REQUEST));
 	EXPECT_FALSE(comet_crash_tracker_is_undecided(
 		vm.crash_tracker, &REQUEST, MINUTE_US + 6 * SECOND_US));
 }
 
-TEST(Crashes, ACancelledRunRaisesNoDoubt)
+TEST(Crashes, CancelledAttemptsLeaveNothingUndecided)
 {
 	Vm vm;
 
 	vm.crash(REQUEST, 1, MINUTE_US);
 	for (uint32_t incarnation_key = 2; incarnation_key <= 9; incarnation_key++)
-		vm.suspect(REQUEST, incarnation_key, MINUTE_US, MINUTE_US, true);
+		vm.add_suspect(REQUEST, incarnation_key, MINUTE_US, MINUTE_US, true);
 	EXPECT_FALSE(comet_crash_tracker_is_undecided(vm.crash_tracker, &REQUEST, MINUTE_US));
 }
 
-TEST(Crashes, AnEndLongAfterTheRunIsNotItsDoing)
+TEST(Crashes, CrashLongAfterTheAttemptIsNotCounted)
 {
 	Vm vm;
 
-	vm.suspect(REQUEST, 1, MINUTE_US, MINUTE_US);
+	vm.add_suspect(REQUEST, 1, MINUTE_US, MINUTE_US);
 	comet_crash_tracker_tick(vm.crash_tracker, MINUTE_US + 20 * SECOND_US);
 	comet_crash_tracker_process_crashed(
 		vm.crash_tracker, 1, MINUTE_US, MINUTE_US + 21 * SECOND_US);
 	EXPECT_EQ(comet_crash_tracker_count(vm.crash_tracker).records, 0U);
 }
 
-TEST(Crashes, WhatIsServedIsExcused)
+TEST(Crashes, ServedRequestIsExcused)
 {
 	Vm vm;
 
 	for (uint32_t incarnation_key = 1; incarnation_key <= 4; incarnation_key++)
 		vm.crash(REQUEST, incarnation_key, MINUTE_US);
-	ASSERT_TRUE(vm.bars(REQUEST));
+	ASSERT_TRUE(vm.is_quarantined(REQUEST));
 	comet_crash_tracker_served(vm.crash_tracker, &REQUEST, 2 * MINUTE_US);
-	EXPECT_FALSE(vm.bars(REQUEST));
-	/* crashes after that count anew, once it was not served for a while */
+	EXPECT_FALSE(vm.is_quarantined(REQUEST));
+	/* Later crashes count again once the request was not served for a while. */
 	for (uint32_t incarnation_key = 11; incarnation_key <= 13; incarnation_key++)
 		vm.crash(REQUEST, incarnation_key, 3 * MINUTE_US);
-	EXPECT_TRUE(vm.bars(REQUEST));
+	EXPECT_TRUE(vm.is_quarantined(REQUEST));
 }
 
-/* A request that many callers send is under way wherever an endpoint dies: also three at a time. */
-TEST(Crashes, WhatIsServedAllTheTimeIsNotBarred)
+/* A request that many callers send is running on any endpoint that fails, even on three that fail
+ * at the same time. */
+TEST(Crashes, RegularlyServedRequestIsNotQuarantined)
 {
 	Vm vm;
 
@@ -235,12 +238,13 @@
 		if (incarnation_key % 10 == 1)
 			comet_crash_tracker_served(vm.crash_tracker, &REQUEST, now_us);
 		vm.crash(REQUEST, incarnation_key, now_us);
-		ASSERT_FALSE(vm.bars(REQUEST)) << incarnation_key;
+		ASSERT_FALSE(vm.is_quarantined(REQUEST)) << incarnation_key;
 	}
 }
 
-/* Another VM has served it and learns of the crashes: it tells the first. */
-TEST(Crashes, WhatIsServedElsewhereIsExcusedHere)
+/* Another VM has served the request, learns of the crashes by gossip, and reports back that they
+ * are excused. */
+TEST(Crashes, RequestServedByAnotherVmIsExcused)
 {
 	Vm one;
 	Vm two;
@@ -248,40 +252,40 @@
 	comet_crash_tracker_served(two.crash_tracker, &REQUEST, MINUTE_US);
 	for (uint32_t incarnation_key = 1; incarnation_key <= 3; incarnation_key++)
 		one.crash(REQUEST, incarnation_key, MINUTE_US + SECOND_US);
-	ASSERT_TRUE(one.bars(REQUEST));
-	one.tell(two, MINUTE_US + 2 * SECOND_US);
-	two.tell(one, MINUTE_US + 3 * SECOND_US);
-	EXPECT_FALSE(one.bars(REQUEST));
-	EXPECT_FALSE(two.bars(REQUEST));
+	ASSERT_TRUE(one.is_quarantined(REQUEST));
+	one.gossip_to(two, MINUTE_US + 2 * SECOND_US);
+	two.gossip_to(one, MINUTE_US + 3 * SECOND_US);
+	EXPECT_FALSE(one.is_quarantined(REQUEST));
+	EXPECT_FALSE(two.is_quarantined(REQUEST));
 }
 
-/* Neighbours lose their runs with the same processes. */
-TEST(Crashes, WhatRanBesideIsNotBarred)
+/* Requests that run beside the crashing one lose their attempts with the same processes. */
+TEST(Crashes, ConcurrentRequestIsNotQuarantined)
 {
 	Vm vm;
-	const comet_fingerprint beside = {88, 2};
+	const comet_fingerprint concurrent = {88, 2};
 
 	for (uint32_t incarnation_key = 1; incarnation_key <= 4; incarnation_key++)
 	{
-		vm.suspect(REQUEST, incarnation_key, MINUTE_US, MINUTE_US);
+		vm.add_suspect(REQUEST, incarnation_key, MINUTE_US, MINUTE_US);
 		if (incarnation_key > 2)
-			vm.suspect(beside, incarnation_key, MINUTE_US, MINUTE_US);
+			vm.add_suspect(concurrent, incarnation_key, MINUTE_US, MINUTE_US);
 		comet_crash_tracker_process_crashed(
 			vm.crash_tracker, incarnation_key, MINUTE_US, MINUTE_US + SECOND_US);
 	}
-	EXPECT_TRUE(vm.bars(REQUEST));
-	EXPECT_FALSE(vm.bars(beside));
-	vm.crash(beside, 9, MINUTE_US); /* one more, of whatever else */
-	EXPECT_FALSE(vm.bars(beside));
+	EXPECT_TRUE(vm.is_quarantined(REQUEST));
+	EXPECT_FALSE(vm.is_quarantined(concurrent));
+	vm.crash(concurrent, 9, MINUTE_US); /* a third crash with another cause */
+	EXPECT_FALSE(vm.is_quarantined(concurrent));
 }
 
-/* Each of five VMs has seen some of the crashes. Whoever told whom in which order, and whatever was
- * lost and told again, all decide the same in the end. */
-TEST(Crashes, AllDecideTheSameInAnyOrder)
+/* Each of five VMs has seen some of the crashes. All must reach the same decisions, in whatever
+ * order they gossip and however often a message is lost or repeated. */
+TEST(Crashes, VmsAgreeInAnyOrderOfGossip)
 {
 	for (unsigned seed = 1; seed <= 300; seed++)
 	{
-		std::mt19937 draw(seed);
+		std::mt19937 rng(seed);
 		std::vector<Vm> vms(5);
 		std::vector<comet_fingerprint> requests;
 		uint64_t now_us = MINUTE_US;
@@ -291,31 +295,32 @@
 		for (int step = 0; step < 400; step++)
 		{
 			now_us += 20000;
-			Vm &vm = vms[draw() % 5];
-			if (draw() % 8 == 0)
-				vm.crash(requests[draw() % 8], 1 + draw() % 12, now_us);
-			else if (draw() % 60 == 0)
+			Vm &vm = vms[rng() % 5];
+			if (rng() % 8 == 0)
+				vm.crash(requests[rng() % 8], 1 + rng() % 12, now_us);
+			else if (rng() % 60 == 0)
 				comet_crash_tracker_served(
-					vm.crash_tracker, &requests[draw() % 4], now_us);
+					vm.crash_tracker, &requests[rng() % 4], now_us);
 			else
-				vm.tell(vms[draw() % 5], now_us);
+				vm.gossip_to(vms[rng() % 5], now_us);
 		}
 		for (int round = 0; round < 12; round++)
 		{
 			now_us += SECOND_US;
 			for (Vm &from : vms)
 				for (Vm &to : vms)
-					from.tell(to, now_us);
+					from.gossip_to(to, now_us);
 		}
 		for (const comet_fingerprint &request : requests)
 			for (Vm &vm : vms)
-				ASSERT_EQ(vm.bars(request), vms[0].bars(request))
+				ASSERT_EQ(
+					vm.is_quarantined(request), vms[0].is_quarantined(request))
 					<< seed << " " << request.digest;
 	}
 }
 
-/* A VM that starts is told all of them, a few in each view. */
-TEST(Crashes, AVmThatStartsIsToldAll)
+/* A VM that starts receives all records, a few in each gossip message. */
+TEST(Crashes, StartingVmReceivesAllRecords)
 {
 	Vm old;
 	Vm started;
@@ -324,12 +329,12 @@
 		for (uint32_t incarnation_key = 1; incarnation_key <= 3; incarnation_key++)
 			old.crash({1000 + i, i % 20}, 10 * i + incarnation_key, MINUTE_US);
 	for (uint64_t view = 0; view < 200; view++)
-		old.tell(started, 2 * MINUTE_US + view * SECOND_US / 10);
+		old.gossip_to(started, 2 * MINUTE_US + view * SECOND_US / 10);
 	EXPECT_EQ(comet_crash_tracker_count(started.crash_tracker).barred, 300U);
 }
 
-/* What is told back and forth for hours ends. */
-TEST(Crashes, ARecordEnds)
+/* VMs that report a record to each other for hours must not keep it from expiring. */
+TEST(Crashes, RecordExpiresDespiteGossip)
 {
 	Vm one;
 	Vm two;
@@ -340,24 +345,25 @@
 	for (int i = 0; i < 3590; i++)
 	{
 		now_us += SECOND_US;
-		one.tell(two, now_us);
-		two.tell(one, now_us + 900000); /* it was slow on its way */
+		one.gossip_to(two, now_us);
+		two.gossip_to(one, now_us + 900000); /* the message was delayed */
 	}
-	EXPECT_TRUE(one.bars(REQUEST));
+	EXPECT_TRUE(one.is_quarantined(REQUEST));
 	for (int i = 0; i < 30; i++)
 	{
 		now_us += SECOND_US;
-		one.tell(two, now_us);
-		two.tell(one, now_us);
+		one.gossip_to(two, now_us);
+		two.gossip_to(one, now_us);
 		comet_crash_tracker_tick(one.crash_tracker, now_us);
 		comet_crash_tracker_tick(two.crash_tracker, now_us);
 	}
-	EXPECT_FALSE(one.bars(REQUEST));
-	EXPECT_FALSE(two.bars(REQUEST));
+	EXPECT_FALSE(one.is_quarantined(REQUEST));
+	EXPECT_FALSE(two.is_quarantined(REQUEST));
 }
 
-/* A team with many records has its own replaced, weakest first, and nobody else's. */
-TEST(Crashes, ATeamPushesOutNoOthers)
+/* A team at its limit of records has its own evicted, those with the fewest crashes first, and
+ * never another team's. */
+TEST(Crashes, TeamEvictsOnlyItsOwnRecords)
 {
 	Vm vm;
 
@@ -365,39 +371,39 @@
 		vm.crash(REQUEST, incarnation_key, MINUTE_US);
 	for (uint32_t i = 0; i < 5000; i++)
 		vm.crash({1000 + i, 9}, 100 + i, 2 * MINUTE_US);
-	EXPECT_TRUE(vm.bars(REQUEST));
+	EXPECT_TRUE(vm.is_quarantined(REQUEST));
 	EXPECT_LE(comet_crash_tracker_count(vm.crash_tracker).records, 65U);
 	for (uint32_t team = 10; team < 90; team++)
 		for (uint32_t i = 0; i < 64; i++)
 			vm.crash({10000 + i, team}, 100000 + team * 64 + i, 2 * MINUTE_US);
 	EXPECT_LE(comet_crash_tracker_count(vm.crash_tracker).records, 4096U);
-	EXPECT_TRUE(vm.bars(REQUEST)); /* weaker ones went first */
+	EXPECT_TRUE(vm.is_quarantined(REQUEST)); /* records with fewer crashes are evicted first */
 }
 
 TEST(Crashes, SuspectsAreBounded)
 {
 	Vm vm;
 
-	vm.suspect(REQUEST, 1, MINUTE_US, MINUTE_US);
+	vm.add_suspect(REQUEST, 1, MINUTE_US, MINUTE_US);
 	for (uint32_t i = 0; i < 10000; i++)
 	{
 		const comet_fingerprint other = {i, 9};
-		vm.suspect(other, 2, MINUTE_US, MINUTE_US);
+		vm.add_suspect(other, 2, MINUTE_US, MINUTE_US);
 	}
 	EXPECT_LE(comet_crash_tracker_count(vm.crash_tracker).crash_suspects, 257U);
 	comet_crash_tracker_process_crashed(vm.crash_tracker, 1, MINUTE_US, MINUTE_US + SECOND_US);
 	EXPECT_EQ(comet_crash_tracker_count(vm.crash_tracker).records,
-		1U); /* one team's pushed out no other's */
+		1U); /* no suspect of another team was evicted */
 	for (uint32_t i = 0; i < 10000; i++)
 	{
 		const comet_fingerprint other = {i, i % 50};
-		vm.suspect(other, 2, MINUTE_US, MINUTE_US);
+		vm.add_suspect(other, 2, MINUTE_US, MINUTE_US);
 	}
 	EXPECT_LE(comet_crash_tracker_count(vm.crash_tracker).crash_suspects, 1024U);
 }
 
-/* One team's news does not keep another's from being told. */
-TEST(Crashes, NewsTakesTurns)
+/* New records of one team do not delay those of another. */
+TEST(Crashes, NewRecordsAreSentInTurn)
 {
 	Vm one;
 	Vm two;
@@ -407,8 +413,8 @@
 	for (uint32_t incarnation_key = 1; incarnation_key <= 3; incarnation_key++)
 		one.crash(REQUEST, incarnation_key, MINUTE_US);
 	for (uint64_t view = 0; view < 30; view++)
-		one.tell(two, MINUTE_US + view * SECOND_US / 10);
-	EXPECT_TRUE(two.bars(REQUEST));
+		one.gossip_to(two, MINUTE_US + view * SECOND_US / 10);
+	EXPECT_TRUE(two.is_quarantined(REQUEST));
 }
 
 } // namespace
