--- a/libcometspindle/gateway/admission/rate_limiter.h
+++ b/libcometspindle/gateway/admission/rate_limiter.h
@@ -28,7 +28,7 @@
 {
 	uint32_t window_ms; /**< the limit holds over any window of this length */
 	double overage;     /**< fraction of the limit that may be spent in excess of it */
-	double slack;       /**< further excess, in the unit of the limit */
+	double slack;       /**< further excess in tokens, for limits in tokens */
 };
 
 struct comet_rate_limiter;
