--- a/libcometspindle/gateway/endpoints/evacuations.c
+++ b/libcometspindle/gateway/endpoints/evacuations.c
@@ -1,15 +1,16 @@
 /*
  * evacuations.c
- * orders to evacuate availability zones, as the directory tells them
+ * evacuation orders for availability zones, as published in the directory
  */
 #include <libcometspindle/gateway/endpoints/evacuations.h>
 
 #include <talloc.h>
 
-/* An order in force. */
+/* An evacuation order in force. */
 struct order
 {
-	uint64_t until_us; /* it ends then unless it is given again; 0: it is not doubted */
+	uint64_t expire_us; /* the order ends then unless the directory lists it again; 0: no expiry
+			     */
 };
 
 struct comet_evacuations
@@ -53,7 +54,7 @@
 		g_hash_table_insert(evacuations->orders, g_strdup(zone), order);
 		comet_instances_evacuate(evacuations->instances, zone);
 	}
-	order->until_us = 0;
+	order->expire_us = 0;
 	return is_new;
 }
 
@@ -73,12 +74,12 @@
 
 void
 comet_evacuations_schedule_expiry(
-	struct comet_evacuations *evacuations, const char *zone, uint64_t until_us)
+	struct comet_evacuations *evacuations, const char *zone, uint64_t expire_us)
 {
 	struct order *order = g_hash_table_lookup(evacuations->orders, zone);
 
 	if (order != NULL)
-		order->until_us = until_us;
+		order->expire_us = expire_us;
 }
 
 void
@@ -89,7 +90,7 @@
 	for (GList *at = zones; at != NULL; at = at->next)
 	{
 		const struct order *order = g_hash_table_lookup(evacuations->orders, at->data);
-		if (order->until_us != 0 && order->until_us <= now_us)
+		if (order->expire_us != 0 && order->expire_us <= now_us)
 			comet_evacuations_end(evacuations, at->data, now_us);
 	}
 	g_list_free(zones);
@@ -99,10 +100,10 @@
 comet_evacuations_each(const struct comet_evacuations *evacuations,
 	void (*visit)(void *ctx, const char *zone), void *ctx)
 {
-	GHashTableIter at;
+	GHashTableIter iter;
 	gpointer zone = NULL;
 
-	g_hash_table_iter_init(&at, evacuations->orders);
-	while (g_hash_table_iter_next(&at, &zone, NULL))
+	g_hash_table_iter_init(&iter, evacuations->orders);
+	while (g_hash_table_iter_next(&iter, &zone, NULL))
 		visit(ctx, zone);
 }
--- a/libcometspindle/gateway/endpoints/evacuations.h
+++ b/libcometspindle/gateway/endpoints/evacuations.h
@@ -1,10 +1,10 @@
 /*
  * evacuations.h
- * orders to evacuate availability zones, as the directory tells them
+ * evacuation orders for availability zones, as published in the directory
  *
- * Endpoints of an evacuated zone get no new work; what runs there goes on. An
- * order holds until the directory says that it has ended, also while the
- * directory is not answering.
+ * Endpoints of an evacuated zone receive no new requests; running requests
+ * complete. An order stays in force until the directory reports its end, also
+ * while the directory is unreachable.
  */
 #ifndef COMETSPINDLE_GATEWAY_EVACUATIONS_H
 #define COMETSPINDLE_GATEWAY_EVACUATIONS_H
@@ -15,25 +15,25 @@
 
 struct comet_evacuations;
 
-/** restored: called when an order has ended, after its endpoints may be used again. */
+/** @param restored called after an order has ended and its endpoints may be used again */
 struct comet_evacuations *
 comet_evacuations_create(void *parent, struct comet_instances *instances,
 	void (*restored)(void *ctx, const char *zone), void *ctx);
 
-/** A zone is to be evacuated. @return whether that is new. */
+/** Evacuates a zone. @return whether the order is new. */
 bool
 comet_evacuations_order(struct comet_evacuations *evacuations, const char *zone);
 
-/** The order has ended. */
+/** Ends an order; does nothing if the zone is not evacuated. */
 void
 comet_evacuations_end(struct comet_evacuations *evacuations, const char *zone, uint64_t now_us);
 
-/** The order may have ended: it holds until that time, unless it is given again. */
+/** Ends an order at expire_us unless the directory lists it again before then. */
 void
 comet_evacuations_schedule_expiry(
-	struct comet_evacuations *evacuations, const char *zone, uint64_t until_us);
+	struct comet_evacuations *evacuations, const char *zone, uint64_t expire_us);
 
-/** Ends the orders that were doubted for long enough. */
+/** Ends the orders whose expiry time has passed. */
 void
 comet_evacuations_tick(struct comet_evacuations *evacuations, uint64_t now_us);
 
