--- a/libcometspindle/gateway/endpoints/incarnations.c
+++ b/libcometspindle/gateway/endpoints/incarnations.c
@@ -1,43 +1,44 @@
 /*
  * incarnations.c
- * which life of each endpoint's process is the latest, by what the directory has told
+ * tracks the latest incarnation of each endpoint's process, from the directory's entries
  */
 #include <libcometspindle/gateway/endpoints/incarnations.h>
 
 #include <glib.h>
 #include <talloc.h>
 
-/* The last word of an earlier life is late news if the later one writes anew: it does so each
- * second or so, and finds its entry changed. When nothing has followed for this time, the clock of
- * the process that runs was behind at its start, and without this it would never be used. */
-#define EARLIER_BELIEVED_US 5000000
+/* An entry of an earlier incarnation is accepted after this time unless the later incarnation
+ * writes again. A running process rewrites its entry about once a second, so that a delayed entry
+ * is soon replaced. If nothing follows, the process that wrote the entry is the one that runs, and
+ * its clock was behind when it started; without this rule it would never be used. */
+#define EARLIER_ACCEPT_US 5000000
 
-/* What was told under one id. */
-struct told
+/* What the directory has reported under one id. */
+struct endpoint_state
 {
-	uint64_t process_start_ms; /* latest; 0: none was told */
+	uint64_t process_start_ms; /* the latest process start; 0: none was reported */
 	struct comet_instance_record
-		*earlier;    /* word of an earlier life that came since, or NULL */
-	uint64_t earlier_us; /* when it came */
-	bool lapsed;         /* it is listed no more, but used on */
+		*earlier;    /* entry of an earlier incarnation that was read since, or NULL */
+	uint64_t earlier_us; /* when that entry was read */
+	bool expiring;       /* the directory no longer lists the endpoint, but it is still used */
 };
 
 struct comet_incarnations
 {
-	GHashTable *by_id; /* id -> struct told */
+	GHashTable *by_id; /* id -> struct endpoint_state */
 };
 
 static void
-free_told(gpointer data)
+free_state(gpointer data)
 {
-	struct told *told = data;
+	struct endpoint_state *state = data;
 
-	talloc_free(told->earlier);
-	g_free(told);
+	talloc_free(state->earlier);
+	g_free(state);
 }
 
 static int
-lives_destroy(struct comet_incarnations *lives)
+incarnations_destroy(struct comet_incarnations *lives)
 {
 	g_hash_table_destroy(lives->by_id);
 	return 0;
@@ -48,53 +49,54 @@
 {
 	struct comet_incarnations *lives = talloc_zero(parent, struct comet_incarnations);
 
-	lives->by_id = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_told);
-	talloc_set_destructor(lives, lives_destroy);
+	lives->by_id = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_state);
+	talloc_set_destructor(lives, incarnations_destroy);
 	return lives;
 }
 
-static struct told *
-told_of(struct comet_incarnations *lives, const char *id)
+static struct endpoint_state *
+find_or_add_state(struct comet_incarnations *lives, const char *id)
 {
-	struct told *told = g_hash_table_lookup(lives->by_id, id);
+	struct endpoint_state *state = g_hash_table_lookup(lives->by_id, id);
 
-	if (told == NULL)
+	if (state == NULL)
 	{
-		told = g_new0(struct told, 1);
-		g_hash_table_insert(lives->by_id, g_strdup(id), told);
+		state = g_new0(struct endpoint_state, 1);
+		g_hash_table_insert(lives->by_id, g_strdup(id), state);
 	}
-	return told;
+	return state;
 }
 
-/* Keeps the word of an earlier life, in case no other follows it. */
+/* Stores an entry of an earlier incarnation, in case that no other entry follows. */
 static void
-keep_earlier(struct told *told, const struct comet_instance_record *record, uint64_t now_us)
+store_earlier(
+	struct endpoint_state *state, const struct comet_instance_record *record, uint64_t now_us)
 {
-	talloc_free(told->earlier);
-	told->earlier = talloc_memdup(NULL, record, sizeof *record);
-	told->earlier->id = talloc_strdup(told->earlier, record->id);
-	told->earlier->service = talloc_strdup(told->earlier, record->service);
-	told->earlier->address = talloc_strdup(told->earlier, record->address);
-	told->earlier->zone = talloc_strdup(told->earlier, record->zone);
-	told->earlier_us = now_us;
+	talloc_free(state->earlier);
+	state->earlier = talloc_memdup(NULL, record, sizeof *record);
+	state->earlier->id = talloc_strdup(state->earlier, record->id);
+	state->earlier->service = talloc_strdup(state->earlier, record->service);
+	state->earlier->address = talloc_strdup(state->earlier, record->address);
+	state->earlier->zone = talloc_strdup(state->earlier, record->zone);
+	state->earlier_us = now_us;
 }
 
 enum comet_incarnation_order
 comet_incarnations_observe(struct comet_incarnations *lives,
 	const struct comet_instance_record *record, uint64_t now_us)
 {
-	struct told *told = told_of(lives, record->id);
+	struct endpoint_state *state = find_or_add_state(lives, record->id);
 
-	told->lapsed = false;
-	if (record->process_start_ms == 0 && told->process_start_ms != 0)
+	state->expiring = false;
+	if (record->process_start_ms == 0 && state->process_start_ms != 0)
 		return COMET_INCARNATION_UNSPECIFIED;
-	if (record->process_start_ms < told->process_start_ms)
+	if (record->process_start_ms < state->process_start_ms)
 	{
-		keep_earlier(told, record, now_us);
+		store_earlier(state, record, now_us);
 		return COMET_INCARNATION_EARLIER;
 	}
-	told->process_start_ms = record->process_start_ms;
-	TALLOC_FREE(told->earlier);
+	state->process_start_ms = record->process_start_ms;
+	TALLOC_FREE(state->earlier);
 	return COMET_INCARNATION_LATEST;
 }
 
@@ -107,38 +109,38 @@
 void
 comet_incarnations_schedule_expiry(struct comet_incarnations *lives, const char *id)
 {
-	struct told *told = told_of(lives, id);
+	struct endpoint_state *state = find_or_add_state(lives, id);
 
-	told->lapsed = true;
-	TALLOC_FREE(told->earlier); /* no word of it stands any more */
+	state->expiring = true;
+	TALLOC_FREE(state->earlier); /* the directory has no entry of it */
 }
 
 void
 comet_incarnations_expire(struct comet_incarnations *lives, const char *id)
 {
-	const struct told *told = g_hash_table_lookup(lives->by_id, id);
+	const struct endpoint_state *state = g_hash_table_lookup(lives->by_id, id);
 
-	if (told != NULL && told->lapsed)
+	if (state != NULL && state->expiring)
 		g_hash_table_remove(lives->by_id, id);
 }
 
 void
 comet_incarnations_tick(struct comet_incarnations *lives, uint64_t now_us,
-	void (*believed)(void *ctx, const struct comet_instance_record *record), void *ctx)
+	void (*accepted)(void *ctx, const struct comet_instance_record *record), void *ctx)
 {
-	GHashTableIter at;
+	GHashTableIter iter;
 	gpointer value = NULL;
 
-	g_hash_table_iter_init(&at, lives->by_id);
-	while (g_hash_table_iter_next(&at, NULL, &value))
+	g_hash_table_iter_init(&iter, lives->by_id);
+	while (g_hash_table_iter_next(&iter, NULL, &value))
 	{
-		struct told *told = value;
-		if (told->earlier == NULL || now_us - told->earlier_us < EARLIER_BELIEVED_US)
+		struct endpoint_state *state = value;
+		if (state->earlier == NULL || now_us - state->earlier_us < EARLIER_ACCEPT_US)
 			continue;
-		struct comet_instance_record *record = told->earlier;
-		told->earlier = NULL;
-		told->process_start_ms = record->process_start_ms;
-		believed(ctx, record);
+		struct comet_instance_record *record = state->earlier;
+		state->earlier = NULL;
+		state->process_start_ms = record->process_start_ms;
+		accepted(ctx, record);
 		talloc_free(record);
 	}
 }
@@ -146,7 +148,7 @@
 uint64_t
 comet_incarnations_start_ms(const struct comet_incarnations *lives, const char *id)
 {
-	const struct told *told = g_hash_table_lookup(lives->by_id, id);
+	const struct endpoint_state *state = g_hash_table_lookup(lives->by_id, id);
 
-	return told != NULL ? told->process_start_ms : 0;
+	return state != NULL ? state->process_start_ms : 0;
 }
--- a/libcometspindle/gateway/endpoints/incarnations.h
+++ b/libcometspindle/gateway/endpoints/incarnations.h
@@ -1,10 +1,11 @@
 /*
  * incarnations.h
- * which life of each endpoint's process is the latest, by what the directory has told
+ * tracks the latest incarnation of each endpoint's process, from the directory's entries
  *
- * A process may start again under its id; its entries then tell a later birth.
- * Entries of the life before may still come, and others may write under an id.
- * No sockets and no clock in here: times are passed in.
+ * A process may restart under its id; its entries then contain a later process
+ * start. Entries of the earlier incarnation may still arrive, and other writers
+ * may write under the id. This module uses no sockets and no clock: the caller
+ * passes the time.
  */
 #ifndef COMETSPINDLE_GATEWAY_INCARNATIONS_H
 #define COMETSPINDLE_GATEWAY_INCARNATIONS_H
@@ -12,13 +13,13 @@
 #include <libcometspindle/gateway/endpoints/instances.h>
 #include <stdint.h>
 
-/** Which life of an endpoint's process an entry is of. */
+/** The incarnation that wrote an entry, relative to the latest one that is known. */
 enum comet_incarnation_order
 {
-	COMET_INCARNATION_LATEST,  /**< this entry is to be used */
-	COMET_INCARNATION_EARLIER, /**< late news: changes nothing, unless it stays the last word */
-	COMET_INCARNATION_UNSPECIFIED, /**< it names none, though its process tells: nobody knows
-					* who wrote it
+	COMET_INCARNATION_LATEST,  /**< the caller applies this entry */
+	COMET_INCARNATION_EARLIER, /**< a delayed entry: ignored unless it remains the last one */
+	COMET_INCARNATION_UNSPECIFIED, /**< without a process start, though earlier entries had
+					* one: the writer is unknown
 					*/
 };
 
@@ -27,29 +28,31 @@
 struct comet_incarnations *
 comet_incarnations_create(void *parent);
 
-/** An entry that could be read was told. @return which life it is of */
+/** Records a valid entry of the directory. @return the incarnation that wrote it. */
 enum comet_incarnation_order
 comet_incarnations_observe(struct comet_incarnations *lives,
 	const struct comet_instance_record *record, uint64_t now_us);
 
-/** The directory has no entry under this id any more. */
+/** Drops the state of an endpoint that the directory no longer lists. */
 void
 comet_incarnations_forget(struct comet_incarnations *lives, const char *id);
 
-/** The same, but the process is used on for a while: its life is still known. */
+/** Marks an endpoint that the directory no longer lists but that stays in use until it expires. Its
+ * latest process start is kept. */
 void
 comet_incarnations_schedule_expiry(struct comet_incarnations *lives, const char *id);
 
-/** That while is over: forgets the life unless an entry has come since. */
+/** Drops the state of an expired endpoint unless an entry has been recorded since. */
 void
 comet_incarnations_expire(struct comet_incarnations *lives, const char *id);
 
-/** Calls believed for each earlier life whose word has stood for long: it is the one that runs. */
+/** Accepts each entry of an earlier incarnation that has been the last one for several seconds, and
+ * calls accepted for it: that incarnation is the running one. */
 void
 comet_incarnations_tick(struct comet_incarnations *lives, uint64_t now_us,
-	void (*believed)(void *ctx, const struct comet_instance_record *record), void *ctx);
+	void (*accepted)(void *ctx, const struct comet_instance_record *record), void *ctx);
 
-/** The latest birth that was told under an id; 0: none. */
+/** Returns the latest process start reported under an id; 0: none. */
 uint64_t
 comet_incarnations_start_ms(const struct comet_incarnations *lives, const char *id);
 
