--- a/libcometspindle/gateway/endpoints/instance.c
+++ b/libcometspindle/gateway/endpoints/instance.c
@@ -1,6 +1,6 @@
 /*
  * instance.c
- * one life of an endpoint's process: what runs there, how fast, how healthy
+ * one incarnation of an endpoint's process: its load, relative latency and health
  */
 #include <libcometspindle/gateway/endpoints/instance.h>
 
@@ -9,41 +9,46 @@
 #include <libcometspindle/hash.h>
 #include <string.h>
 
-/* Weight of a new sample of an instance's pace: about the last ten requests count. */
-#define PACE_WEIGHT 0.1
+/* Weight of a new sample in the moving average of the relative latency, which covers about the
+ * last ten requests. */
+#define RELATIVE_LATENCY_WEIGHT 0.1
 
-/* Bounds of a learned pace: hardware generations differ threefold, trouble makes it tenfold. */
-#define PACE_MIN 0.2
-#define PACE_MAX 20.0
+/* Bounds of the relative latency: hardware generations differ by a factor of 3, and faults slow
+ * an endpoint down by a factor of 10. */
+#define RELATIVE_LATENCY_MIN 0.2
+#define RELATIVE_LATENCY_MAX 20.0
 
-/* Slow start: how much longer a cold instance is expected to take. */
-#define COLD_FACTOR 2.0
+/* Expected latency of a cold instance, relative to a warm one. */
+#define COLD_LATENCY_FACTOR 2.0
 
-/* Failures in a row before an instance is avoided, and for how long: doubling to the longest. */
-#define FAILURES_TO_AVOID 2
-#define AVOID_FIRST_US 500000
-#define AVOID_LONGEST_US 4000000
+/* Consecutive failures that eject an instance, and the duration of the ejection: it starts at the
+ * base and doubles with each further failure up to the maximum. */
+#define EJECTION_FAILURES 2
+#define EJECTION_BASE_US 500000
+#define EJECTION_MAX_US 4000000
 
-/* An instance that refused as full gets nothing for this time, doubled with each refusal in a row
- * up to the longest: others are likely to refuse less. */
-#define FULL_FIRST_US 100000
-#define FULL_LONGEST_US 1600000
+/* Backoff after an instance refused a request because it was full. It doubles with each
+ * consecutive refusal up to the maximum; other instances are less likely to refuse. */
+#define FULL_BACKOFF_BASE_US 100000
+#define FULL_BACKOFF_MAX_US 1600000
 
-/* A trial whose end is not told by then is over: the word of another VM may be lost. */
-#define TRIAL_LONGEST_US 4000000
+/* A probe without a result counts as finished after this time: the message in which another VM
+ * reports the result of its probe may be lost. */
+#define PROBE_TIMEOUT_US 4000000
 
-/* An instance that fails this part of its requests of late is avoided as well. */
-#define ERROR_RATE_TO_AVOID 0.45
+/* Recent error rate that also ejects an instance. */
+#define EJECTION_ERROR_RATE 0.45
 
-/* Weight of one result in an instance's error rate: about the last eight count. */
+/* Weight of one result in the moving average of the error rate, which covers about the last eight
+ * results. */
 #define ERROR_WEIGHT 0.12
 
-/* A view of other VMs' dispatches older than this says nothing any more. */
-#define VIEW_STALE_US 3000000
+/* Gossip about the dispatches of other VMs is ignored when it is older than this. */
+#define GOSSIP_STALE_US 3000000
 
-/* What an endpoint told of its load goes before views for this time: about as long as a request
- * takes there. */
-#define TOLD_FRESH_US 400000
+/* The load that an endpoint reported takes precedence over gossip for this time, which is about
+ * the duration of a request. */
+#define LOAD_REPORT_FRESH_US 400000
 
 uint32_t
 comet_instance_key(const char *id, uint64_t process_start_ms)
@@ -58,12 +63,14 @@
 uint32_t
 comet_instance_load(const struct comet_instance *instance, uint64_t now_us)
 {
-	bool viewed = instance->gossip_us != 0 && now_us - instance->gossip_us < VIEW_STALE_US;
-	bool told = instance->reported_us != 0 && now_us - instance->reported_us < TOLD_FRESH_US;
-	uint32_t others = viewed ? instance->others : 0;
-
-	/* Its own word is exact when it is fresh; views are summed from older ones. */
-	if (told)
+	bool gossip_fresh =
+		instance->gossip_us != 0 && now_us - instance->gossip_us < GOSSIP_STALE_US;
+	bool report_fresh =
+		instance->reported_us != 0 && now_us - instance->reported_us < LOAD_REPORT_FRESH_US;
+	uint32_t others = gossip_fresh ? instance->others : 0;
+
+	/* A fresh report of the endpoint is exact; gossip adds up older counts. */
+	if (report_fresh)
 		others = instance->reported_total -
 			 MIN(instance->reported_total, instance->reported_own);
 	return instance->own + others;
@@ -72,24 +79,27 @@
 uint32_t
 comet_instance_owned_load(const struct comet_instance *instance, uint64_t now_us)
 {
-	bool told = instance->reported_us != 0 && now_us - instance->reported_us < TOLD_FRESH_US;
-	uint32_t told_others = told ? instance->reported_total -
-					       MIN(instance->reported_total, instance->reported_own)
-				    : 0;
-
-	return instance->own + MAX(instance->others, told_others);
+	bool report_fresh =
+		instance->reported_us != 0 && now_us - instance->reported_us < LOAD_REPORT_FRESH_US;
+	uint32_t reported_others =
+		report_fresh ? instance->reported_total -
+				       MIN(instance->reported_total, instance->reported_own)
+			     : 0;
+
+	return instance->own + MAX(instance->others, reported_others);
 }
 
-/* Prompt tokens granted to other VMs that are not read yet, as far as time tells. */
+/* Estimates how many prompt tokens of the grants to other VMs are not processed yet, from the time
+ * that has passed. */
 static double
 granted_prompt_tokens(const struct comet_latency_model *latency_model,
 	const struct comet_instance *instance, uint64_t now_us)
 {
 	double token_us =
 		comet_latency_model_prompt_us(latency_model, 1000) / 1000 * instance->pace;
-	double read = (double)(now_us - instance->granted_us) / MAX(token_us, 1.0);
+	double processed = (double)(now_us - instance->granted_us) / MAX(token_us, 1.0);
 
-	return MAX(instance->granted_prompt_tokens - read, 0.0);
+	return MAX(instance->granted_prompt_tokens - processed, 0.0);
 }
 
 void
@@ -117,25 +127,25 @@
 	uint64_t now_us, uint64_t *first_us, uint64_t *total_us)
 {
 	const struct comet_latency_model *latency_model = instance->latency_model;
-	double cold = instance->warm_until_us > now_us ? COLD_FACTOR : 1.0;
+	double cold_factor = instance->warm_until_us > now_us ? COLD_LATENCY_FACTOR : 1.0;
 
 	if (!job->stream)
 	{
 		double plain_us =
 			comet_latency_model_mean_us(latency_model, COMET_LATENCY_KIND_PLAIN);
-		*first_us = (uint64_t)(plain_us * instance->pace * cold);
+		*first_us = (uint64_t)(plain_us * instance->pace * cold_factor);
 		*total_us = *first_us;
 		return;
 	}
 	double token = comet_latency_model_mean_us(latency_model, COMET_LATENCY_KIND_TOKEN);
-	/* What was granted is in views as well, a little later. */
+	/* The maximum, since gossip includes granted tokens a little later. */
 	double others = MAX((double)instance->remote_prompt_tokens,
 		granted_prompt_tokens(latency_model, instance, now_us));
 	double ahead = comet_latency_model_prompt_us(
 		latency_model, instance->local_prompt_tokens + (uint32_t)others);
 	double first = comet_latency_model_first_us(latency_model, job->prompt_tokens) + ahead;
-	*first_us = (uint64_t)(first * instance->pace * cold);
-	*total_us = (uint64_t)((first + token * job->output_tokens) * instance->pace * cold);
+	*first_us = (uint64_t)(first * instance->pace * cold_factor);
+	*total_us = (uint64_t)((first + token * job->output_tokens) * instance->pace * cold_factor);
 }
 
 double
@@ -161,7 +171,7 @@
 bool
 comet_instance_is_probing(const struct comet_instance *instance, uint64_t now_us)
 {
-	return instance->probe_in_flight && now_us - instance->probe_started_us < TRIAL_LONGEST_US;
+	return instance->probe_in_flight && now_us - instance->probe_started_us < PROBE_TIMEOUT_US;
 }
 
 void
@@ -172,12 +182,13 @@
 }
 
 static void
-learn_pace(struct comet_instance *instance, double taken_us, double usual_us)
+learn_relative_latency(struct comet_instance *instance, double taken_us, double usual_us)
 {
-	double sample = CLAMP(taken_us / MAX(usual_us, 1.0), PACE_MIN, PACE_MAX);
+	double sample =
+		CLAMP(taken_us / MAX(usual_us, 1.0), RELATIVE_LATENCY_MIN, RELATIVE_LATENCY_MAX);
 
 	instance->samples++;
-	double weight = MAX(PACE_WEIGHT, 1.0 / (1.0 + instance->samples));
+	double weight = MAX(RELATIVE_LATENCY_WEIGHT, 1.0 / (1.0 + instance->samples));
 	instance->pace += weight * (sample - instance->pace);
 }
 
@@ -190,13 +201,13 @@
 	instance->local_prompt_tokens -= MIN(instance->local_prompt_tokens, job->prompt_tokens);
 	if (!job->stream || first_us == COMET_INSTANCE_UNMEASURED)
 		return;
-	/* Waiting behind others says nothing of the usual time: only calm samples are taken. */
+	/* A sample includes queueing time, so it is only used while no request waits there. */
 	if (instance->own + instance->others <= instance->slots)
 		comet_latency_model_learn_first(
 			latency_model, job->prompt_tokens, (double)first_us / instance->pace);
 }
 
-/* Learns how long an endpoint takes for a plain answer. */
+/* Updates the relative latency and the latency model from a plain response. */
 static void
 learn_plain(struct comet_instance *instance, uint64_t taken_us)
 {
@@ -206,7 +217,7 @@
 		known ? comet_latency_model_mean_us(latency_model, COMET_LATENCY_KIND_PLAIN)
 		      : (double)taken_us;
 
-	learn_pace(instance, (double)taken_us, usual_us);
+	learn_relative_latency(instance, (double)taken_us, usual_us);
 	comet_latency_model_learn(latency_model, COMET_LATENCY_KIND_PLAIN, (double)taken_us);
 }
 
@@ -225,14 +236,14 @@
 	double usual_us =
 		known ? comet_latency_model_mean_us(latency_model, COMET_LATENCY_KIND_EVENT)
 		      : event_us;
-	learn_pace(instance, event_us, usual_us);
+	learn_relative_latency(instance, event_us, usual_us);
 	comet_latency_model_learn(
 		latency_model, COMET_LATENCY_KIND_EVENT, event_us / instance->pace);
 }
 
-/* Learns speeds from a whole answer. */
+/* Updates the relative latency and the latency model from a complete response. */
 static void
-learn_speed(struct comet_instance *instance, const struct comet_request_size *job,
+learn_latency(struct comet_instance *instance, const struct comet_request_size *job,
 	uint64_t stream_us, uint32_t events)
 {
 	struct comet_latency_model *latency_model = instance->latency_model;
@@ -254,31 +265,32 @@
 		(double)stream_us / job->output_tokens / instance->pace);
 }
 
-/* A bad end: avoids the instance once there are too many of them. */
+/* Records a failed dispatch and ejects the instance after too many of them. @return whether the
+ * instance is newly ejected. */
 static bool
 learn_failure(struct comet_instance *instance, enum comet_dispatch_result result, uint64_t now_us)
 {
-	bool trusted = instance->ejected_until_us == 0;
+	bool newly_ejected = instance->ejected_until_us == 0;
 
 	if (result != COMET_DISPATCH_ERROR)
-		instance->failures++; /* an answered error counts by its rate alone */
+		instance->failures++; /* an error response counts in the error rate alone */
 	instance->error_rate += ERROR_WEIGHT * (1.0 - instance->error_rate);
-	/* No connection says at once that nobody is there. */
-	bool clear = result == COMET_DISPATCH_UNREACHED || instance->probe_in_flight;
-	if (!clear && instance->failures < FAILURES_TO_AVOID &&
-		instance->error_rate < ERROR_RATE_TO_AVOID)
+	/* A failed connection attempt or a failed probe is sufficient on its own. */
+	bool conclusive = result == COMET_DISPATCH_UNREACHED || instance->probe_in_flight;
+	if (!conclusive && instance->failures < EJECTION_FAILURES &&
+		instance->error_rate < EJECTION_ERROR_RATE)
 		return false;
-	uint64_t pause_us = (uint64_t)AVOID_FIRST_US << MIN(instance->failures, 4);
-	pause_us = MIN(pause_us / 2, AVOID_LONGEST_US);
-	instance->ejected_until_us = now_us + pause_us;
+	uint64_t ejection_us = (uint64_t)EJECTION_BASE_US << MIN(instance->failures, 4);
+	ejection_us = MIN(ejection_us / 2, EJECTION_MAX_US);
+	instance->ejected_until_us = now_us + ejection_us;
 	instance->probe_in_flight = false;
-	return trusted;
+	return newly_ejected;
 }
 
 static bool
 learn_success(struct comet_instance *instance)
 {
-	bool avoided = instance->ejected_until_us != 0;
+	bool was_ejected = instance->ejected_until_us != 0;
 
 	instance->failures = 0;
 	instance->refusals = 0;
@@ -286,14 +298,14 @@
 	instance->error_rate -= ERROR_WEIGHT * instance->error_rate;
 	instance->ejected_until_us = 0;
 	instance->probe_in_flight = false;
-	return avoided;
+	return was_ejected;
 }
 
-/* What a result tells of the endpoint. @return true when trust in it changed */
+/* Updates the health of an instance. @return true when it was ejected, readmitted or replaced. */
 static bool
 learn_result(struct comet_instance *instance, enum comet_dispatch_result result, uint64_t now_us)
 {
-	uint64_t pause_us = (uint64_t)FULL_FIRST_US << MIN(instance->refusals, 8);
+	uint64_t backoff_us = (uint64_t)FULL_BACKOFF_BASE_US << MIN(instance->refusals, 8);
 
 	switch (result)
 	{
@@ -306,7 +318,7 @@
 		return false;
 	case COMET_DISPATCH_REFUSED:
 		instance->probe_in_flight = false;
-		instance->full_until_us = now_us + MIN(pause_us, FULL_LONGEST_US);
+		instance->full_until_us = now_us + MIN(backoff_us, FULL_BACKOFF_MAX_US);
 		instance->refusals++;
 		return false;
 	case COMET_DISPATCH_WRONG_INSTANCE:
@@ -317,13 +329,13 @@
 		return learn_failure(instance, result, now_us);
 	case COMET_DISPATCH_BROKEN:
 	case COMET_DISPATCH_SILENT:
-		/* With the process all that runs there ends. */
+		/* All requests of a process end with it: if none remains, it may have restarted. */
 		if (instance->own + instance->others == 0)
 			comet_instance_may_be_cold(instance, now_us);
 		return learn_failure(instance, result, now_us);
 	case COMET_DISPATCH_UNREACHED:
-		comet_instance_may_be_cold(
-			instance, now_us); /* another process may be there soon */
+		/* Another process may soon listen on the address. */
+		comet_instance_may_be_cold(instance, now_us);
 		return learn_failure(instance, result, now_us);
 	}
 	return false;
@@ -339,7 +351,7 @@
 		instance->local_prompt_tokens -=
 			MIN(instance->local_prompt_tokens, job->prompt_tokens);
 	if (result == COMET_DISPATCH_SERVED)
-		learn_speed(instance, job, stream_us, events);
+		learn_latency(instance, job, stream_us, events);
 	return learn_result(instance, result, now_us);
 }
 
@@ -361,7 +373,7 @@
 {
 	if (instance->last_seen_us > since_us)
 		return false;
-	instance->ejected_until_us = MAX(instance->ejected_until_us, now_us + AVOID_FIRST_US);
+	instance->ejected_until_us = MAX(instance->ejected_until_us, now_us + EJECTION_BASE_US);
 	return true;
 }
 
--- a/libcometspindle/gateway/endpoints/instance.h
+++ b/libcometspindle/gateway/endpoints/instance.h
@@ -1,8 +1,8 @@
 /*
  * instance.h
- * one life of an endpoint's process: what runs there, how fast, how healthy
+ * one incarnation of an endpoint's process: its load, relative latency and health
  *
- * No sockets and no clock in here: times are passed in.
+ * This module uses no sockets and no clock: the caller passes the time.
  */
 #ifndef COMETSPINDLE_GATEWAY_INSTANCE_H
 #define COMETSPINDLE_GATEWAY_INSTANCE_H
@@ -11,168 +11,171 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** The size of a request, as far as it is known. */
+/** Size of a request, as far as it is known in advance. */
 struct comet_request_size
 {
 	uint32_t prompt_tokens;
 	uint32_t output_tokens; /**< expected; 0 for plain requests */
-	uint32_t output_most;   /**< most that it may generate; 0: not told */
+	uint32_t output_most;   /**< upper limit set by the client; 0: unknown */
 	bool stream;
 };
 
-/** How a dispatch ended, for what is learned from it. */
+/** Result of a dispatch, from which load, latency and health are updated. */
 enum comet_dispatch_result
 {
-	COMET_DISPATCH_SERVED,         /**< a whole answer */
-	COMET_DISPATCH_ERROR,          /**< it ran and failed there */
-	COMET_DISPATCH_REFUSED,        /**< full: not run */
-	COMET_DISPATCH_BROKEN,         /**< the connection broke */
-	COMET_DISPATCH_SILENT,         /**< no word in a time in which there should be one */
-	COMET_DISPATCH_UNREACHED,      /**< no connection */
-	COMET_DISPATCH_CANCELLED,      /**< the caller left: says nothing of the endpoint */
-	COMET_DISPATCH_WRONG_INSTANCE, /**< another process has its address */
+	COMET_DISPATCH_SERVED,    /**< complete response */
+	COMET_DISPATCH_ERROR,     /**< the endpoint ran the request and responded with an error */
+	COMET_DISPATCH_REFUSED,   /**< the endpoint was full and did not run the request */
+	COMET_DISPATCH_BROKEN,    /**< the connection failed before the end of the response */
+	COMET_DISPATCH_SILENT,    /**< the endpoint sent nothing before the timeout */
+	COMET_DISPATCH_UNREACHED, /**< no connection was established */
+	COMET_DISPATCH_CANCELLED, /**< the caller left; no effect on the endpoint's health */
+	COMET_DISPATCH_WRONG_INSTANCE, /**< another process uses its address */
 };
 
 struct comet_latency_model;
 
 /**
- * One life of an endpoint's process. A process that starts again under its id holds and knows
- * nothing of before, so that nothing here outlives it.
+ * One incarnation of an endpoint's process. A restarted process has no requests and no cache of
+ * its predecessor, so that no state is carried over to the next incarnation.
  */
 struct comet_instance
 {
 	char *id;
-	uint64_t process_start_ms; /**< when its process started, by its own clock; 0: not told */
-	uint32_t key;              /**< of this life: comet_instance_key(id, process_start_ms) */
-	uint32_t place;            /**< of all its lives: comet_hash_name(id) */
+	uint64_t process_start_ms; /**< process start by its own clock; 0: unknown */
+	uint32_t key;   /**< of this incarnation: comet_instance_key(id, process_start_ms) */
+	uint32_t place; /**< the same for all incarnations: comet_hash_name(id) */
 	char *service;
-	struct comet_latency_model *latency_model; /**< of its service */
+	struct comet_latency_model *latency_model; /**< shared by its service */
 	char *address;
 	char *zone;
-	bool near; /**< it is in this VM's zone */
+	bool near; /**< in this VM's availability zone */
 	uint32_t slots;
-	uint32_t shard; /**< it belongs to (shards.h) */
+	uint32_t shard; /**< shard that it belongs to (shards.h) */
 	bool draining;
-	bool evacuated;         /**< its zone is: it gets no new work */
-	bool listed;            /**< the directory names it */
-	uint64_t expire_us;     /**< unlisted during an outage: dropped then; 0: not so */
-	uint64_t warm_until_us; /**< slow until then */
+	bool evacuated;     /**< its zone is evacuated: it receives no new requests */
+	bool listed;        /**< the directory lists it */
+	uint64_t expire_us; /**< removed at this time, if unlisted after an outage; 0: no expiry */
+	uint64_t warm_until_us; /**< end of its warm-up, during which it is slower */
 	struct comet_slow_start start;
-	const struct comet_slow_start_config *start_bounds; /**< of its service */
-	uint32_t own;                                       /**< our dispatches there */
-	uint32_t local_prompt_tokens; /**< prompt tokens of ours whose first event is not there */
-	uint32_t others;              /**< dispatches of other VMs, from their views */
-	uint32_t remote_prompt_tokens;
-	double granted_prompt_tokens; /**< prompt tokens granted to others and not read yet, at
-				       * granted_us
-				       */
+	const struct comet_slow_start_config *start_bounds; /**< shared by its service */
+	uint32_t own;                                       /**< running dispatches of this VM */
+	uint32_t local_prompt_tokens;  /**< of own dispatches without a first event */
+	uint32_t others;               /**< running dispatches of other VMs, from gossip */
+	uint32_t remote_prompt_tokens; /**< of dispatches of other VMs without a first event */
+	double granted_prompt_tokens;  /**< of grants to other VMs, not processed yet at
+					* granted_us
+					*/
 	uint64_t granted_us;
-	uint64_t gossip_us;      /**< age of the newest of these views */
-	uint32_t reported_total; /**< running and waiting, as its last answer told */
-	uint32_t reported_own;   /**< ours at that time */
-	uint64_t reported_us;    /**< when; 0: never */
-	double pace;             /**< time it takes, relative to its service's usual */
-	uint32_t samples;
-	uint64_t last_seen_us;     /**< when it last sent anything on any connection; 0: never */
-	uint32_t failures;         /**< in a row */
-	double error_rate;         /**< of late, 0 to 1 */
-	uint64_t ejected_until_us; /**< no work but one trial before then; 0: trusted */
+	uint64_t gossip_us;        /**< time of the newest gossip about its load; 0: none */
+	uint32_t reported_total;   /**< running and queued requests, from its last response */
+	uint32_t reported_own;     /**< own at that time */
+	uint64_t reported_us;      /**< time of that response; 0: none */
+	double pace;               /**< latency relative to the usual latency of its service */
+	uint32_t samples;          /**< number of samples of the relative latency */
+	uint64_t last_seen_us;     /**< last time it sent data on any connection; 0: never */
+	uint32_t failures;         /**< consecutive */
+	double error_rate;         /**< moving average, 0 to 1 */
+	uint64_t ejected_until_us; /**< no requests before then, then a probe; 0: not ejected */
 	bool probe_in_flight;
-	uint64_t probe_started_us; /**< when the trial began */
-	bool replaced;          /**< another process has its address: this one is gone for good */
-	uint32_t refusals;      /**< in a row */
-	uint64_t full_until_us; /**< it refused as full: no work before then */
+	uint64_t probe_started_us; /**< time at which the probe was sent or granted */
+	bool replaced;             /**< another process uses its address: this one has ended */
+	uint32_t refusals;         /**< consecutive */
+	uint64_t full_until_us;    /**< end of the backoff after it refused a request as full */
 };
 
-/** 32-bit id of a life, the same on all VMs; 0 is never returned. */
+/** Returns the 32-bit key of an incarnation, which is the same on all VMs and never 0. */
 uint32_t
 comet_instance_key(const char *id, uint64_t process_start_ms);
 
-/** Requests that are believed to be at an instance now, ours and others'. */
+/** Estimates the number of requests at an instance, of this VM and of the others. */
 uint32_t
 comet_instance_load(const struct comet_instance *instance, uint64_t now_us);
 
 /**
- * Requests at an instance that this VM keeps count of: what it granted is known
- * at once, and what the instance told is only taken where it is more.
+ * Estimates the number of requests at an instance whose owner is this VM. Its
+ * own grants count at once; the load that the instance reported counts only
+ * where it is higher.
  */
 uint32_t
 comet_instance_owned_load(const struct comet_instance *instance, uint64_t now_us);
 
-/** Another VM was granted a slot there, for a prompt of so many tokens. */
+/** Records that this VM granted a slot to another VM, for a prompt of prompt_tokens. */
 void
 comet_instance_slot_granted(
 	struct comet_instance *instance, uint32_t prompt_tokens, uint64_t now_us);
 
-/** Another VM has left a slot there. */
+/** Records that another VM released a slot. */
 void
 comet_instance_slot_released(struct comet_instance *instance);
 
-/** Learns the speed of an instance from a whole answer: a plain one within taken_us, or a stream
- * with so many events within that; 0: nothing is to be learned. */
+/** Updates the relative latency and the latency model from a complete response: a plain one after
+ * taken_us, or a stream of that many events within taken_us. A plain response with taken_us 0 and a
+ * stream of fewer than two events are ignored. */
 void
 comet_instance_learn(
 	struct comet_instance *instance, bool stream, uint64_t taken_us, uint32_t events);
 
-/** Expected time until the first event (or the whole plain answer) and until the end. */
+/** Estimates the time until the first event (or the complete plain response) and until the end. */
 void
 comet_instance_estimate(const struct comet_instance *instance, const struct comet_request_size *job,
 	uint64_t now_us, uint64_t *first_us, uint64_t *total_us);
 
-/** How long a usual request of its service holds a slot of an instance. */
+/** Estimates how long a typical request of its service occupies a slot of this instance. */
 double
 comet_instance_slot_us(const struct comet_instance *instance);
 
-/** It was chosen, by this VM or for one that it grants a slot to: if it is doubted, this is its
- * trial. */
+/** Records that this VM selected the instance, for its own request or for a grant to another VM. If
+ * the instance is ejected, this request is its probe. */
 void
 comet_instance_selected(struct comet_instance *instance, uint64_t now_us);
 
-/** It may be cold: it has just started, or gets work again. */
+/** Starts slow start for an instance that may be cold: after a start, or after a time without
+ * requests. */
 void
 comet_instance_may_be_cold(struct comet_instance *instance, uint64_t now_us);
 
-/** @return whether the end of a trial is awaited. */
+/** @return whether a probe is in flight and has not timed out. */
 bool
 comet_instance_is_probing(const struct comet_instance *instance, uint64_t now_us);
 
-/** A dispatch starts. */
+/** Records the start of a dispatch. */
 void
 comet_instance_started(struct comet_instance *instance, const struct comet_request_size *job);
 
-/** A time from which nothing is to be learned. */
+/** Marks a time that is excluded from learning. */
 #define COMET_INSTANCE_UNMEASURED 0
 
-/** Its first event came after first_us. */
+/** Records that the first event of a dispatch arrived after first_us. */
 void
 comet_instance_first_event(
 	struct comet_instance *instance, const struct comet_request_size *job, uint64_t first_us);
 
-/** A dispatch is over. @return true when trust in the instance changed. */
+/** Records the end of a dispatch. @return true when the instance was ejected, readmitted or found
+ * to be replaced. */
 bool
 comet_instance_ended(struct comet_instance *instance, const struct comet_request_size *job,
 	bool had_first, enum comet_dispatch_result result, uint64_t stream_us, uint32_t events,
 	uint64_t now_us);
 
-/** Another VM tells how a dispatch of its own there ended. @return true when trust in it changed.
- */
+/** Records the result of a dispatch of another VM. @return as comet_instance_ended. */
 bool
 comet_instance_remote_result(
 	struct comet_instance *instance, enum comet_dispatch_result result, uint64_t now_us);
 
-/** It sent something, on whatever connection. */
+/** Records that the instance sent data on any connection. */
 void
 comet_instance_seen(struct comet_instance *instance, uint64_t now_us);
 
 /**
- * Nothing was heard of a dispatch since since_us. If nothing else was heard of
- * the instance either, it gets no more work until a trial; else the request is
- * slow, not the instance. @return whether it is doubted.
+ * Ejects an instance if it has sent nothing on any connection since since_us.
+ * One dispatch has received no data since then; if other connections have, the
+ * request is slow, not the instance. @return whether the instance is ejected.
  */
 bool
 comet_instance_eject_if_silent(struct comet_instance *instance, uint64_t since_us, uint64_t now_us);
 
-/** Its answer told how many requests run and wait there. */
+/** Records the number of running and queued requests that a response of the instance reported. */
 void
 comet_instance_load_reported(struct comet_instance *instance, uint32_t total, uint64_t now_us);
 
