--- a/libcometspindle/gateway/endpoints/instances.c
+++ b/libcometspindle/gateway/endpoints/instances.c
@@ -1,6 +1,6 @@
 /*
  * instances.c
- * the endpoints that this VM knows of, as the directory tells of them
+ * the endpoints that this VM knows, as listed by the directory
  */
 #include <libcometspindle/gateway/endpoints/instances.h>
 
@@ -9,20 +9,20 @@
 #include <string.h>
 #include <talloc.h>
 
-/* What is unlisted after an outage gets no more work so long before the directory's word is whole
- * again, however late the first answer came: it may have left since, and what leaves must get
- * nothing from then on. */
+/* An endpoint that is missing from the directory after an outage receives no requests from this
+ * long before the directory is complete again, however late the first answer of the directory came.
+ * The endpoint may have left, and must then receive nothing once the directory is complete. */
 #define SETTLED_MARGIN_US 200000
 
 struct comet_instances
 {
 	char *own_zone;
-	GHashTable *by_id;         /* id -> comet_instance */
-	GHashTable *by_key;        /* key -> comet_instance */
-	GHashTable *services;      /* service -> GPtrArray of comet_instance */
-	GHashTable *latency_model; /* service -> struct comet_latency_model */
-	GHashTable *starts;        /* service -> struct comet_slow_start_config */
-	GHashTable *evacuated;     /* zones, as a set */
+	GHashTable *by_id;              /* id -> comet_instance */
+	GHashTable *by_key;             /* key -> comet_instance */
+	GHashTable *services;           /* service -> GPtrArray of comet_instance */
+	GHashTable *latency_models;     /* service -> struct comet_latency_model */
+	GHashTable *slow_start_configs; /* service -> struct comet_slow_start_config */
+	GHashTable *evacuated_zones;    /* set of zone names */
 	uint64_t changes;
 };
 
@@ -38,9 +38,9 @@
 	g_hash_table_destroy(instances->by_id);
 	g_hash_table_destroy(instances->by_key);
 	g_hash_table_destroy(instances->services);
-	g_hash_table_destroy(instances->latency_model);
-	g_hash_table_destroy(instances->starts);
-	g_hash_table_destroy(instances->evacuated);
+	g_hash_table_destroy(instances->latency_models);
+	g_hash_table_destroy(instances->slow_start_configs);
+	g_hash_table_destroy(instances->evacuated_zones);
 	return 0;
 }
 
@@ -53,50 +53,53 @@
 	instances->by_id = g_hash_table_new(g_str_hash, g_str_equal);
 	instances->by_key = g_hash_table_new(NULL, NULL);
 	instances->services = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_array);
-	instances->latency_model = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	instances->starts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	instances->evacuated = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	instances->latency_models = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	instances->slow_start_configs =
+		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	instances->evacuated_zones = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	talloc_set_destructor(instances, instances_destroy);
 	return instances;
 }
 
 static struct comet_latency_model *
-speeds_of(struct comet_instances *instances, const char *service)
+latency_model_of(struct comet_instances *instances, const char *service)
 {
 	struct comet_latency_model *latency_model =
-		g_hash_table_lookup(instances->latency_model, service);
+		g_hash_table_lookup(instances->latency_models, service);
 
 	if (latency_model == NULL)
 	{
 		latency_model = comet_latency_model_create(instances);
-		g_hash_table_insert(instances->latency_model, g_strdup(service), latency_model);
+		g_hash_table_insert(instances->latency_models, g_strdup(service), latency_model);
 	}
 	return latency_model;
 }
 
-/* The bounds of a service; they stay where they are, since instances point there. */
+/* Returns the slow start settings of a service. Instances hold pointers to them, so that they are
+ * updated in place. */
 static struct comet_slow_start_config *
-start_bounds_of(struct comet_instances *instances, const char *service)
+slow_start_config_of(struct comet_instances *instances, const char *service)
 {
-	struct comet_slow_start_config *bounds = g_hash_table_lookup(instances->starts, service);
+	struct comet_slow_start_config *config =
+		g_hash_table_lookup(instances->slow_start_configs, service);
 
-	if (bounds == NULL)
+	if (config == NULL)
 	{
-		bounds = g_new0(struct comet_slow_start_config, 1);
-		g_hash_table_insert(instances->starts, g_strdup(service), bounds);
+		config = g_new0(struct comet_slow_start_config, 1);
+		g_hash_table_insert(instances->slow_start_configs, g_strdup(service), config);
 	}
-	return bounds;
+	return config;
 }
 
 void
 comet_instances_set_slow_start(struct comet_instances *instances, const char *service,
-	const struct comet_slow_start_config *bounds)
+	const struct comet_slow_start_config *config)
 {
-	*start_bounds_of(instances, service) = *bounds;
+	*slow_start_config_of(instances, service) = *config;
 }
 
 static struct comet_instance *
-add(struct comet_instances *instances, const struct comet_instance_record *record)
+add_instance(struct comet_instances *instances, const struct comet_instance_record *record)
 {
 	struct comet_instance *instance = talloc_zero(instances, struct comet_instance);
 
@@ -105,8 +108,8 @@
 	instance->key = comet_instance_key(record->id, record->process_start_ms);
 	instance->place = comet_hash_name(record->id);
 	instance->service = talloc_strdup(instance, record->service);
-	instance->latency_model = speeds_of(instances, record->service);
-	instance->start_bounds = start_bounds_of(instances, record->service);
+	instance->latency_model = latency_model_of(instances, record->service);
+	instance->start_bounds = slow_start_config_of(instances, record->service);
 	instance->pace = 1.0;
 	instances->changes++;
 	g_hash_table_insert(instances->by_id, instance->id, instance);
@@ -121,14 +124,14 @@
 	return instance;
 }
 
-/* Replaces a text of an instance. @return whether it was another one */
+/* Replaces a string of an instance. @return whether it differed. */
 static bool
-set_text(struct comet_instance *instance, char **text, const char *now)
+set_string(struct comet_instance *instance, char **string, const char *value)
 {
-	if (*text != NULL && strcmp(*text, now) == 0)
+	if (*string != NULL && strcmp(*string, value) == 0)
 		return false;
-	talloc_free(*text);
-	*text = talloc_strdup(instance, now);
+	talloc_free(*string);
+	*string = talloc_strdup(instance, value);
 	return true;
 }
 
@@ -145,15 +148,15 @@
 		instance = NULL;
 	}
 	if (instance == NULL)
-		instance = add(instances, record);
-	if (set_text(instance, &instance->address, record->address))
+		instance = add_instance(instances, record);
+	if (set_string(instance, &instance->address, record->address))
 		instance->replaced = false;
-	if (set_text(instance, &instance->zone, record->zone))
+	if (set_string(instance, &instance->zone, record->zone))
 		instances->changes++;
 	instance->near = strcmp(instance->zone, instances->own_zone) == 0;
 	instance->slots = record->slots > 0 ? record->slots : 1;
 	instance->draining = record->draining;
-	instance->evacuated = g_hash_table_contains(instances->evacuated, instance->zone);
+	instance->evacuated = g_hash_table_contains(instances->evacuated_zones, instance->zone);
 	instance->warm_until_us =
 		record->warm_up_ms > 0 ? now_us + (uint64_t)record->warm_up_ms * 1000 : 0;
 	if (!instance->listed)
@@ -164,24 +167,25 @@
 	return instance;
 }
 
-/* Entries may name any service: of one that nobody used nothing stays with its last instance. */
+/* Drops the state of a service that has no instances, unless something was learned or configured
+ * for it. Entries may name any service, and their state would accumulate. */
 static void
-forget_if_unused(struct comet_instances *instances, const char *service)
+drop_unused_service(struct comet_instances *instances, const char *service)
 {
 	struct comet_latency_model *latency_model =
-		g_hash_table_lookup(instances->latency_model, service);
+		g_hash_table_lookup(instances->latency_models, service);
 
 	if (comet_instances_for_service(instances, service) != NULL)
 		return;
 	if (latency_model != NULL && !comet_latency_model_learned(latency_model))
 	{
-		g_hash_table_remove(instances->latency_model, service);
+		g_hash_table_remove(instances->latency_models, service);
 		talloc_free(latency_model);
 	}
-	const struct comet_slow_start_config *bounds =
-		g_hash_table_lookup(instances->starts, service);
-	if (bounds != NULL && bounds->cold_us == 0)
-		g_hash_table_remove(instances->starts, service);
+	const struct comet_slow_start_config *config =
+		g_hash_table_lookup(instances->slow_start_configs, service);
+	if (config != NULL && config->cold_us == 0)
+		g_hash_table_remove(instances->slow_start_configs, service);
 	g_hash_table_remove(instances->services, service);
 }
 
@@ -196,16 +200,17 @@
 	GPtrArray *array = g_hash_table_lookup(instances->services, instance->service);
 	g_ptr_array_remove(array, instance);
 	g_hash_table_remove(instances->by_id, instance->id);
-	/* another of equal hash stays */
+	/* Another instance may have the same key and stays in the table. */
 	if (comet_instances_find_key(instances, instance->key) == instance)
 		g_hash_table_remove(instances->by_key, GUINT_TO_POINTER(instance->key));
-	forget_if_unused(instances, instance->service);
+	drop_unused_service(instances, instance->service);
 	talloc_free(instance);
 }
 
-/* Marks the instances of a zone. */
+/* Sets the evacuated flag of all instances of a zone. */
 static void
-mark_evacuated(struct comet_instances *instances, const char *zone, bool evacuated, uint64_t now_us)
+set_zone_evacuated(
+	struct comet_instances *instances, const char *zone, bool evacuated, uint64_t now_us)
 {
 	GHashTableIter at;
 	gpointer value = NULL;
@@ -225,22 +230,22 @@
 void
 comet_instances_evacuate(struct comet_instances *instances, const char *zone)
 {
-	g_hash_table_add(instances->evacuated, g_strdup(zone));
-	mark_evacuated(instances, zone, true, 0);
+	g_hash_table_add(instances->evacuated_zones, g_strdup(zone));
+	set_zone_evacuated(instances, zone, true, 0);
 }
 
 void
 comet_instances_restore(struct comet_instances *instances, const char *zone, uint64_t now_us)
 {
-	mark_evacuated(instances, zone, false, now_us);
-	g_hash_table_remove(instances->evacuated, zone);
+	set_zone_evacuated(instances, zone, false, now_us);
+	g_hash_table_remove(instances->evacuated_zones, zone);
 }
 
 bool
 comet_instances_all_evacuated(struct comet_instances *instances, const char *service)
 {
 	const GPtrArray *all = comet_instances_for_service(instances, service);
-	bool any = false;
+	bool any_usable = false;
 
 	for (guint i = 0; all != NULL && i < all->len; i++)
 	{
@@ -249,19 +254,19 @@
 			continue;
 		if (!instance->evacuated)
 			return false;
-		any = true;
+		any_usable = true;
 	}
-	return any;
+	return any_usable;
 }
 
 bool
 comet_instances_schedule_expiry(struct comet_instances *instances, const char *id,
-	uint64_t outage_us, const struct comet_expiry_config *bounds, uint64_t now_us)
+	uint64_t outage_us, const struct comet_expiry_config *config, uint64_t now_us)
 {
 	struct comet_instance *instance = comet_instances_find(instances, id);
 	uint64_t last_us =
-		outage_us + bounds->settled_us - MIN(bounds->settled_us, SETTLED_MARGIN_US);
-	uint64_t until_us = MIN(now_us + bounds->usual_us, last_us);
+		outage_us + config->settled_us - MIN(config->settled_us, SETTLED_MARGIN_US);
+	uint64_t until_us = MIN(now_us + config->usual_us, last_us);
 
 	if (instance == NULL || until_us <= now_us)
 		return false;
@@ -323,7 +328,7 @@
 comet_instances_services(const struct comet_instances *instances)
 {
 	return MAX(g_hash_table_size(instances->services),
-		g_hash_table_size(instances->latency_model));
+		g_hash_table_size(instances->latency_models));
 }
 
 uint64_t
@@ -336,7 +341,7 @@
 comet_instances_typical_first_us(struct comet_instances *instances, const char *service,
 	const struct comet_request_size *job)
 {
-	const struct comet_latency_model *latency_model = speeds_of(instances, service);
+	const struct comet_latency_model *latency_model = latency_model_of(instances, service);
 
 	if (!job->stream)
 		return (uint64_t)comet_latency_model_mean_us(
@@ -347,5 +352,5 @@
 uint64_t
 comet_instances_typical_slot_us(struct comet_instances *instances, const char *service)
 {
-	return (uint64_t)comet_latency_model_slot_us(speeds_of(instances, service));
+	return (uint64_t)comet_latency_model_slot_us(latency_model_of(instances, service));
 }
