--- a/libcometspindle/gateway/endpoints/latency_model.h
+++ b/libcometspindle/gateway/endpoints/latency_model.h
@@ -1,9 +1,9 @@
 /*
  * latency_model.h
- * how long the requests of one service usually take, learned from its answers
+ * usual latency of the requests of one service, learned from its responses
  *
- * All times are those of an endpoint of usual pace; an endpoint's own pace
- * multiplies them (instances.h). No clock in here.
+ * All times are those of an endpoint of usual latency; the relative latency of
+ * an endpoint multiplies them (instance.h). This module uses no clock.
  */
 #ifndef COMETSPINDLE_GATEWAY_LATENCY_MODEL_H
 #define COMETSPINDLE_GATEWAY_LATENCY_MODEL_H
@@ -11,56 +11,57 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Times of which a mean is kept. */
+/** Times for which a moving average is kept. */
 enum comet_latency_kind
 {
-	COMET_LATENCY_KIND_PLAIN, /**< a whole plain answer */
-	COMET_LATENCY_KIND_TOKEN, /**< of a stream, per token expected of it */
-	COMET_LATENCY_KIND_EVENT, /**< between two events */
-	COMET_LATENCY_KIND_SLOT,  /**< that a stream holds a slot, of whatever size */
+	COMET_LATENCY_KIND_PLAIN, /**< complete plain response */
+	COMET_LATENCY_KIND_TOKEN, /**< duration of a stream per expected output token */
+	COMET_LATENCY_KIND_EVENT, /**< interval between two events of a stream */
+	COMET_LATENCY_KIND_SLOT,  /**< time that a stream of any size occupies a slot */
 };
 
 #define COMET_LATENCY_KINDS (COMET_LATENCY_KIND_SLOT + 1)
 
 struct comet_latency_model;
 
-/** Freed with its parent. */
+/** Creates a model without samples, which is freed with its parent. */
 struct comet_latency_model *
 comet_latency_model_create(void *parent);
 
-/** @return the mean in microseconds; a plausible time until one was learned */
+/** @return the average in microseconds; a default until a sample was learned. */
 double
 comet_latency_model_mean_us(
-	const struct comet_latency_model *latency_model, enum comet_latency_kind speed);
+	const struct comet_latency_model *latency_model, enum comet_latency_kind kind);
 
-/** @return whether a time was learned. */
+/** @return whether a sample of this kind was learned. */
 bool
 comet_latency_model_known(
-	const struct comet_latency_model *latency_model, enum comet_latency_kind speed);
+	const struct comet_latency_model *latency_model, enum comet_latency_kind kind);
 
-/** @return whether any was. */
+/** @return whether a sample of any kind was learned. */
 bool
 comet_latency_model_learned(const struct comet_latency_model *latency_model);
 
-/** How long a usual request holds a slot, plain or a stream. */
+/** Estimates how long a typical request, plain or a stream, occupies a slot. */
 double
 comet_latency_model_slot_us(const struct comet_latency_model *latency_model);
 
+/** Adds a sample to the average of a kind. */
 void
 comet_latency_model_learn(
-	struct comet_latency_model *latency_model, enum comet_latency_kind speed, double sample_us);
+	struct comet_latency_model *latency_model, enum comet_latency_kind kind, double sample_us);
 
-/** Time until a stream's first event, where nothing else is to be read before. */
+/** Estimates the time until the first event of a stream if no other prompt is processed before. */
 double
 comet_latency_model_first_us(
 	const struct comet_latency_model *latency_model, uint32_t prompt_tokens);
 
-/** The part of that time that its prompt's length takes. */
+/** Returns the part of that time that is proportional to the prompt's length. */
 double
 comet_latency_model_prompt_us(
 	const struct comet_latency_model *latency_model, uint32_t prompt_tokens);
 
-/** A first event came after first_us. */
+/** Adds a sample of the time until the first event. */
 void
 comet_latency_model_learn_first(
 	struct comet_latency_model *latency_model, uint32_t prompt_tokens, double first_us);
