--- a/libcometspindle/gateway/endpoints/outage.c
+++ b/libcometspindle/gateway/endpoints/outage.c
@@ -1,26 +1,27 @@
 /*
  * outage.c
- * what failed calls tell of an outage of the directory
+ * detects outages of the directory from failed calls
  */
 #include <libcometspindle/gateway/endpoints/outage.h>
 
 #include <glib.h>
 
-/* A call that waits for news may fail long after it was made; the directory was out when the answer
- * came that refused it, which was handled no longer ago than this. */
-#define HANDLED_WITHIN_US 1000000
+/* Upper bound of the time from the arrival of a refusal to its handling. A long poll may be refused
+ * long after it was sent, and the directory was unavailable when the refusal arrived. */
+#define MAX_HANDLING_DELAY_US 1000000
 
-/* A kept connection that ends, or goes silent, says nothing of the directory: endpoints that had
- * left meanwhile were taken for lapsed by that, and used on. */
+/* A persistent connection that closes or becomes silent does not indicate an outage. When it was
+ * treated as one, endpoints that had left in the meantime counted as expired and stayed in use. */
 static bool
-shows_outage(const struct comet_outage *outage, enum comet_call_failure failure)
+indicates_outage(const struct comet_outage *outage, enum comet_call_failure failure)
 {
 	switch (failure)
 	{
 	case COMET_CALL_REFUSED:
 		return true;
 	case COMET_CALL_ENDED:
-		return outage->failing; /* on a connection of its own, and due at once */
+		/* After a failure, calls use a new connection and should return at once. */
+		return outage->failing;
 	case COMET_CALL_LIMITED:
 		break;
 	}
@@ -28,13 +29,13 @@
 }
 
 bool
-comet_outage_failed(struct comet_outage *outage, enum comet_call_failure failure, uint64_t asked_us,
+comet_outage_failed(struct comet_outage *outage, enum comet_call_failure failure, uint64_t sent_us,
 	uint64_t now_us)
 {
 	bool first = !outage->failing;
 
-	if (shows_outage(outage, failure))
-		outage->outage_us = MAX(asked_us, now_us - MIN(now_us, HANDLED_WITHIN_US));
+	if (indicates_outage(outage, failure))
+		outage->outage_us = MAX(sent_us, now_us - MIN(now_us, MAX_HANDLING_DELAY_US));
 	outage->failing = true;
 	return first;
 }
--- a/libcometspindle/gateway/endpoints/outage.h
+++ b/libcometspindle/gateway/endpoints/outage.h
@@ -1,10 +1,10 @@
 /*
  * outage.h
- * what failed calls tell of an outage of the directory
+ * detects outages of the directory from failed calls
  *
- * While the directory is out, entries of living endpoints may lapse; what goes
- * otherwise has left. So it matters which failures show an outage. No sockets
- * and no clock in here.
+ * During an outage, entries of running endpoints may expire; an entry that
+ * disappears at any other time belongs to an endpoint that has left. Not every
+ * failed call indicates an outage. This module uses no sockets and no clock.
  */
 #ifndef COMETSPINDLE_GATEWAY_OUTAGE_H
 #define COMETSPINDLE_GATEWAY_OUTAGE_H
@@ -15,26 +15,28 @@
 /** How a call to the directory failed. */
 enum comet_call_failure
 {
-	COMET_CALL_ENDED,   /**< no whole answer came */
-	COMET_CALL_REFUSED, /**< the directory said that it does not serve now */
-	COMET_CALL_LIMITED, /**< too many calls were made: it serves others */
+	COMET_CALL_ENDED,   /**< no complete response arrived */
+	COMET_CALL_REFUSED, /**< the directory responded that it is unavailable */
+	COMET_CALL_LIMITED, /**< the rate limit of the directory rejected the call */
 };
 
-/** Zeroed: no outage. */
+/** State of the detection; all zero: no outage. */
 struct comet_outage
 {
 	bool failing;       /**< the last call failed */
-	uint64_t outage_us; /**< when the directory was last known to be out, since it failed; or 0
+	uint64_t outage_us; /**< last time at which it was known to be unavailable, since the last
+			     * successful call; 0: none
 			     */
 };
 
-/** A call that was made at asked_us has failed. @return whether the one before it had not. */
+/** Records the failure of a call that was made at sent_us. @return whether it is the first failure
+ * since the last successful call. */
 bool
-comet_outage_failed(struct comet_outage *outage, enum comet_call_failure failure, uint64_t asked_us,
+comet_outage_failed(struct comet_outage *outage, enum comet_call_failure failure, uint64_t sent_us,
 	uint64_t now_us);
 
-/** A call has succeeded: there is no outage any more. @return as outage_us, of the one that is
- * over.
+/** Records a successful call, which ends an outage. @return outage_us of the outage that ended; 0:
+ * there was none.
  */
 uint64_t
 comet_outage_answered(struct comet_outage *outage);
