--- a/libcometspindle/gateway/endpoints/slow_start.c
+++ b/libcometspindle/gateway/endpoints/slow_start.c
@@ -1,38 +1,39 @@
 /*
  * slow_start.c
- * how many requests an endpoint receives while it is cold
+ * limits the request rate of cold endpoints
  */
 #include <libcometspindle/gateway/endpoints/slow_start.h>
 
 #include <glib.h>
 #include <string.h>
 
-/* Sends are counted over the last 1.1 to 1.2 s: those of more than a second may arrive within one,
- * since some reach the endpoint faster than others. */
+/* Length of a time slice. Requests are counted over the last 1.1 to 1.2 s, since network delays
+ * differ and requests that were sent over more than a second may arrive within one. */
 #define SLICE_US 100000
 
-/* An endpoint without a request for so long may have started again unnoticed. Longer than one that
- * is bounded waits for its next: it would never be warm. */
-#define REST_US 2000000
+/* An endpoint without a request for this long may have restarted unnoticed and counts as cold. The
+ * time is longer than the interval between requests to a limited endpoint, which would otherwise
+ * never become warm. */
+#define IDLE_RESTART_US 2000000
 
 static bool
-is_bounded(const struct comet_slow_start_config *bounds)
+is_limited(const struct comet_slow_start_config *config)
 {
-	return bounds->cold_us > 0 && bounds->most_per_s > 0;
+	return config->cold_us > 0 && config->most_per_s > 0;
 }
 
 static bool
-has_rested(const struct comet_slow_start *start, uint64_t now_us)
+has_been_idle(const struct comet_slow_start *start, uint64_t now_us)
 {
-	return start->last_us == 0 || now_us - start->last_us >= REST_US;
+	return start->last_us == 0 || now_us - start->last_us >= IDLE_RESTART_US;
 }
 
 void
-comet_slow_start_begin(struct comet_slow_start *start, const struct comet_slow_start_config *bounds,
+comet_slow_start_begin(struct comet_slow_start *start, const struct comet_slow_start_config *config,
 	uint64_t now_us)
 {
-	if (is_bounded(bounds))
-		comet_slow_start_set_until(start, now_us + bounds->cold_us);
+	if (is_limited(config))
+		comet_slow_start_set_until(start, now_us + config->cold_us);
 }
 
 void
@@ -42,13 +43,13 @@
 }
 
 void
-comet_slow_start_count(struct comet_slow_start *start, const struct comet_slow_start_config *bounds,
+comet_slow_start_count(struct comet_slow_start *start, const struct comet_slow_start_config *config,
 	uint64_t now_us)
 {
 	uint64_t slice = now_us / SLICE_US;
 
-	if (has_rested(start, now_us))
-		comet_slow_start_begin(start, bounds, now_us);
+	if (has_been_idle(start, now_us))
+		comet_slow_start_begin(start, config, now_us);
 	if (slice - start->slice >= COMET_SLOW_START_SLICES)
 		memset(start->counts, 0, sizeof start->counts);
 	for (uint64_t at = start->slice + 1;
@@ -59,9 +60,9 @@
 	start->last_us = now_us;
 }
 
-/* Sends in the slices that are recent enough. */
+/* Returns the number of requests in the current time slices. */
 static uint32_t
-recent(const struct comet_slow_start *start, uint64_t now_us)
+recent_requests(const struct comet_slow_start *start, uint64_t now_us)
 {
 	uint64_t slice = now_us / SLICE_US;
 	uint64_t oldest = slice - MIN(slice, COMET_SLOW_START_SLICES - 1);
@@ -74,14 +75,14 @@
 
 bool
 comet_slow_start_admits(const struct comet_slow_start *start,
-	const struct comet_slow_start_config *bounds, double share, double draw, uint64_t now_us)
+	const struct comet_slow_start_config *config, double share, double draw, uint64_t now_us)
 {
-	bool cold = now_us < start->until_us || has_rested(start, now_us);
-	double most = bounds->most_per_s * share;
+	bool cold = now_us < start->until_us || has_been_idle(start, now_us);
+	double limit = config->most_per_s * share;
 
-	if (!is_bounded(bounds) || !cold)
+	if (!is_limited(config) || !cold)
 		return true;
-	if (most < 1)
-		return draw < most && recent(start, now_us) == 0;
-	return recent(start, now_us) < (uint32_t)most;
+	if (limit < 1)
+		return draw < limit && recent_requests(start, now_us) == 0;
+	return recent_requests(start, now_us) < (uint32_t)limit;
 }
--- a/libcometspindle/gateway/endpoints/slow_start.h
+++ b/libcometspindle/gateway/endpoints/slow_start.h
@@ -1,11 +1,11 @@
 /*
  * slow_start.h
- * how many requests an endpoint receives while it is cold
+ * limits the request rate of cold endpoints
  *
- * An endpoint is cold after its start, and news of that takes longer than a
- * burst. So one that begins to get work after a rest is taken for cold as well.
- * All VMs together must stay within the bound in any second; each decides on a
- * share of it. No clock in here.
+ * An endpoint is cold after its start, and a burst may arrive before the news of
+ * the start. An endpoint that receives requests after an idle period therefore
+ * counts as cold as well. All VMs together must stay within the limit in any
+ * second; each VM decides on a share of it. This module uses no clock.
  */
 #ifndef COMETSPINDLE_GATEWAY_SLOW_START_H
 #define COMETSPINDLE_GATEWAY_SLOW_START_H
@@ -13,47 +13,47 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Slices of time in which sends are counted. */
+/** Number of time slices in which requests are counted. */
 #define COMET_SLOW_START_SLICES 12
 
-/** What the endpoints of a service bear while they are cold. */
+/** Slow start limits for the endpoints of a service. */
 struct comet_slow_start_config
 {
-	uint64_t cold_us;  /**< how long one is cold after its start; 0: none ever is */
-	double most_per_s; /**< requests that it may receive in a second, of all VMs; 0: any */
+	uint64_t cold_us;  /**< how long an endpoint is cold after its start; 0: never */
+	double most_per_s; /**< requests per second that it may receive from all VMs; 0: no limit */
 };
 
-/** What is known of one endpoint; all zero: nothing yet. */
+/** Slow start state of one endpoint; all zero: no requests yet. */
 struct comet_slow_start
 {
-	uint64_t until_us;                        /**< cold until then */
-	uint64_t last_us;                         /**< when it was last sent to; 0: never */
-	uint64_t slice;                           /**< the newest */
-	uint32_t counts[COMET_SLOW_START_SLICES]; /**< sends, by slice modulo their number */
+	uint64_t until_us;                        /**< end of the cold period */
+	uint64_t last_us;                         /**< time of the last request; 0: none */
+	uint64_t slice;                           /**< index of the newest slice */
+	uint32_t counts[COMET_SLOW_START_SLICES]; /**< requests per slice, a ring buffer */
 };
 
-/** It has just started, as far as is known. */
+/** Starts a cold period, for an endpoint that may have just started. */
 void
-comet_slow_start_begin(struct comet_slow_start *start, const struct comet_slow_start_config *bounds,
+comet_slow_start_begin(struct comet_slow_start *start, const struct comet_slow_start_config *config,
 	uint64_t now_us);
 
-/** It is cold until that time, by its own word. */
+/** Extends the cold period to a time that the endpoint itself reported. */
 void
 comet_slow_start_set_until(struct comet_slow_start *start, uint64_t until_us);
 
-/** A request is sent there by this VM, or by one that it granted a slot to. */
+/** Counts a request that this VM sends, or that another VM sends on a grant of this VM. */
 void
-comet_slow_start_count(struct comet_slow_start *start, const struct comet_slow_start_config *bounds,
+comet_slow_start_count(struct comet_slow_start *start, const struct comet_slow_start_config *config,
 	uint64_t now_us);
 
 /**
- * Whether this VM may decide to send one more request there.
- * @param share part of the bound that it decides on
- * @param draw fixed for the endpoint and this VM, 0 to 1: of a share below one request, this part
- * of the VMs may send one
+ * Returns whether this VM may send or grant one more request.
+ * @param share fraction of the limit that this VM decides on
+ * @param draw fixed number from 0 to 1 for the endpoint and this VM. If the share is less than one
+ * request, only VMs whose draw is below it may send one.
  */
 bool
 comet_slow_start_admits(const struct comet_slow_start *start,
-	const struct comet_slow_start_config *bounds, double share, double draw, uint64_t now_us);
+	const struct comet_slow_start_config *config, double share, double draw, uint64_t now_us);
 
 #endif
