--- a/tests/unit/test_evacuations.cc
+++ b/tests/unit/test_evacuations.cc
@@ -1,6 +1,6 @@
 /*
  * test_evacuations.cc
- * zones that get no new work: choices, grants, guests and queues, in virtual time
+ * evacuated zones: endpoint selection, grants, remote waiters and queues, in virtual time
  */
 #include "grants_fleet.h"
 #include "placement_fixture.h"
@@ -36,8 +36,9 @@
 		evacuations = comet_evacuations_create(instances, instances, on_restored, this);
 	}
 
+	/* Submits a request. @return the endpoint that receives it, or "" if it waits. */
 	std::string
-	sent_to(comet_placement_item *item)
+	submit(comet_placement_item *item)
 	{
 		size_t before = dispatched.size();
 		comet_placement_submit(placement, item, now_us);
@@ -45,25 +46,27 @@
 	}
 };
 
-TEST_F(EvacuationTest, EndpointsOfTheZoneAreNotChosenUntilItIsRestored)
+TEST_F(EvacuationTest, EndpointsOfTheZoneAreNotSelectedUntilItIsRestored)
 {
 	add("a", "z1");
 	add("b", "z2");
 	EXPECT_TRUE(comet_evacuations_order(evacuations, "z1"));
 	EXPECT_FALSE(comet_evacuations_order(evacuations, "z1"));
-	add("c", "z1"); /* listed later */
+	add("c", "z1"); /* listed after the order */
 	std::vector<comet_placement_item> items(3, item(2));
-	EXPECT_EQ(sent_to(&items[0]), "b");
-	EXPECT_EQ(sent_to(&items[1]), "b");
-	EXPECT_EQ(sent_to(&items[2]), "") << "b is full, and the others are not used instead";
+	EXPECT_EQ(submit(&items[0]), "b");
+	EXPECT_EQ(submit(&items[1]), "b");
+	EXPECT_EQ(submit(&items[2]), "")
+		<< "b is full, and the evacuated endpoints are not used instead";
 	comet_evacuations_end(evacuations, "z1", now_us);
 	EXPECT_EQ(restored, std::vector<std::string>{"z1"});
 	comet_placement_run(placement, now_us);
-	EXPECT_NE(dispatched.back().instance, "b") << "what waited is served by the zone again";
+	EXPECT_NE(dispatched.back().instance, "b")
+		<< "the waiting request is dispatched to the restored zone";
 	EXPECT_EQ(dispatched.size(), 3U);
 }
 
-TEST_F(EvacuationTest, AnOrderInDoubtHoldsUntilThenUnlessItIsGivenAgain)
+TEST_F(EvacuationTest, AnOrderExpiresUnlessItIsListedAgain)
 {
 	add("a", "z1");
 	comet_evacuations_order(evacuations, "z1");
@@ -78,11 +81,11 @@
 	EXPECT_EQ(restored.size(), 1U);
 }
 
-/* Requests that wait learn at once that nobody will serve them. */
-TEST_F(EvacuationTest, AServiceWithoutAnyOtherZoneRefusesAtOnceAlsoWhatWaits)
+/* Requests that wait are refused as soon as no endpoint can serve them. */
+TEST_F(EvacuationTest, AServiceWithoutAnotherZoneRefusesNewAndWaitingRequests)
 {
 	comet_instance *only = add("a", "z1");
-	add("gone", "z2", true);
+	add("draining", "z2", true);
 	std::vector<comet_placement_item> items(4, item(0));
 	only->slots = 1;
 	for (auto &one : items)
@@ -99,43 +102,45 @@
 	comet_placement_submit(placement, &late, now_us);
 	ASSERT_EQ(refused.size(), 3U);
 	for (auto &one : refused)
-		EXPECT_GE(one.second, 1000U) << "an evacuation takes longer than a slot";
+		EXPECT_GE(one.second, 1000U)
+			<< "an evacuation lasts longer than a request occupies a slot";
 	EXPECT_TRUE(comet_placement_is_evacuated(placement, &late));
 }
 
-/* A trial of an avoided endpoint is a send as well. */
-TEST_F(EvacuationTest, AvoidedEndpointsAreNotTried)
+/* A probe of an ejected endpoint is a request, which an evacuated zone must not receive. */
+TEST_F(EvacuationTest, EjectedEndpointsAreNotProbed)
 {
 	comet_instance *only = add("a", "z1");
 	comet_evacuations_order(evacuations, "z1");
 	only->ejected_until_us = now_us - 1;
 	comet_placement_item one = item(0);
 	one.repeatable = true;
-	EXPECT_EQ(sent_to(&one), "");
+	EXPECT_EQ(submit(&one), "");
 }
 
-/* The keeper does not know of the order yet: the grant goes back, so that its count stays right. */
-TEST(Evacuations, AGrantInAnEvacuatedZoneIsGivenBack)
+/* The owner does not know of the order yet. The requester releases the grant, so that the owner's
+ * count of used slots stays right. */
+TEST(Evacuations, AGrantInAnEvacuatedZoneIsReleased)
 {
 	fleet all(3, 2);
-	uint32_t keeper = all.keeper_of_all(1);
-	uint32_t asker = keeper == 1 ? 2 : 1;
-	all.submit(asker); /* the ask is on its way */
-	comet_instances_evacuate(all.vms[asker].instances, "z");
+	uint32_t owner = all.keeper_of_all(1);
+	uint32_t requester = owner == 1 ? 2 : 1;
+	all.submit(requester); /* the slot request is in transit */
+	comet_instances_evacuate(all.vms[requester].instances, "z");
 	all.deliver();
 	all.pass(50000);
 	EXPECT_EQ(all.total(), 0U);
 	for (const char *id : {"i0", "i1"})
 		EXPECT_EQ(comet_instance_owned_load(
-				  comet_instances_find(all.vms[keeper].instances, id), all.now_us),
+				  comet_instances_find(all.vms[owner].instances, id), all.now_us),
 			0U);
 }
 
-/* Guests that wait at a keeper get nothing of a zone that is evacuated meanwhile. */
-TEST(Evacuations, GuestsAreNotGrantedEvacuatedEndpoints)
+/* Remote waiters at an owner receive no grant for a zone that is evacuated while they wait. */
+TEST(Evacuations, RemoteWaitersAreNotGrantedEvacuatedEndpoints)
 {
 	fleet all(4, 2);
-	uint32_t keeper = all.keeper_of_all(1);
+	uint32_t owner = all.keeper_of_all(1);
 	std::vector<std::pair<uint32_t, comet_placement_item *>> running;
 	for (uint32_t i = 0; i < 2 * grants_fleet::slots; i++)
 	{
@@ -146,14 +151,14 @@
 	ASSERT_EQ(all.total(), 2 * grants_fleet::slots);
 	for (uint32_t vm = 1; vm <= 4; vm++)
 		all.submit(vm);
-	all.pass(100000); /* those of the others wait at the keeper */
+	all.pass(100000); /* the requests of the other VMs wait at the owner */
 	for (auto &one : all.vms)
 		comet_instances_evacuate(one.second.instances, "z");
 	for (auto &one : running)
 		all.end(one.first, one.second);
 	all.pass(500000);
 	EXPECT_EQ(all.total(), 0U);
-	EXPECT_NE(keeper, 0U);
+	EXPECT_NE(owner, 0U);
 }
 
 } // namespace
