--- a/tests/unit/test_instances.cc
+++ b/tests/unit/test_instances.cc
@@ -1,6 +1,6 @@
 /*
  * test_instances.cc
- * endpoints that the directory no longer names, and how long they are used on
+ * expiry of endpoints that the directory no longer lists, and state across incarnations
  */
 #include <gtest/gtest.h>
 
@@ -16,10 +16,10 @@
 {
 
 constexpr uint64_t second_us = 1000000;
-constexpr uint64_t expire_us = 2200000;
-constexpr comet_expiry_config bounds = {expire_us, 3 * second_us};
+constexpr uint64_t expiry_us = 2200000;
+constexpr comet_expiry_config config = {expiry_us, 3 * second_us};
 
-struct Lapses : ::testing::Test
+struct Expiry : ::testing::Test
 {
 	comet_instances *instances = comet_instances_create(nullptr, "z");
 
@@ -30,14 +30,14 @@
 		comet_instances_put(instances, &record, 0);
 	}
 
-	~Lapses() override
+	~Expiry() override
 	{
 		talloc_free(instances);
 	}
 
-	/* Is it still used at a time? */
+	/* Returns whether the endpoint is still in use at a time. */
 	bool
-	used(uint64_t now_us)
+	in_use(uint64_t now_us)
 	{
 		comet_instances_tick(
 			instances, now_us, [](void *, const char *) {}, nullptr);
@@ -45,63 +45,63 @@
 	}
 };
 
-TEST_F(Lapses, WhatIsUnlistedAfterAnOutageIsUsedOnForAWhile)
+TEST_F(Expiry, AnEndpointUnlistedAfterAnOutageStaysInUseUntilItExpires)
 {
 	uint64_t outage_us = 10 * second_us;
 	ASSERT_TRUE(comet_instances_schedule_expiry(
-		instances, "i", outage_us, &bounds, outage_us + 100000));
-	EXPECT_TRUE(used(outage_us + 2 * second_us)); /* entries may be back by then */
-	EXPECT_FALSE(used(outage_us + 100000 + expire_us));
+		instances, "i", outage_us, &config, outage_us + 100000));
+	EXPECT_TRUE(in_use(outage_us + 2 * second_us)); /* its entry may be listed again by then */
+	EXPECT_FALSE(in_use(outage_us + 100000 + expiry_us));
 }
 
-/* Found in a hunt: a VM had its first answer 0.9 s after it had been cut off; what had left since
- * was used for 2.2 s more, and got work three seconds after the cut. */
-TEST_F(Lapses, HoweverLateTheFirstAnswerNothingIsUsedThreeSecondsAfterAnOutage)
+/* A VM received its first answer 0.9 s after it was disconnected, and used endpoints that had left
+ * in the meantime for 2.2 s more. They received requests 3 s after the disconnection. */
+TEST_F(Expiry, ALateFirstAnswerDoesNotExtendUseBeyondThreeSecondsAfterAnOutage)
 {
 	uint64_t outage_us = 10 * second_us;
 	ASSERT_TRUE(comet_instances_schedule_expiry(
-		instances, "i", outage_us, &bounds, outage_us + 1600000));
-	EXPECT_TRUE(used(outage_us + 2 * second_us));
-	EXPECT_FALSE(used(outage_us + 3 * second_us));
+		instances, "i", outage_us, &config, outage_us + 1600000));
+	EXPECT_TRUE(in_use(outage_us + 2 * second_us));
+	EXPECT_FALSE(in_use(outage_us + 3 * second_us));
 }
 
-TEST_F(Lapses, WhereTheDirectoryIsSoonWholeAgainTheyAreShorter)
+TEST_F(Expiry, ExpiryIsEarlierIfTheDirectoryIsCompleteSooner)
 {
 	uint64_t outage_us = 10 * second_us;
-	const comet_expiry_config soon = {expire_us, 2 * second_us};
+	const comet_expiry_config soon = {expiry_us, 2 * second_us};
 	ASSERT_TRUE(comet_instances_schedule_expiry(
 		instances, "i", outage_us, &soon, outage_us + 100000));
-	EXPECT_TRUE(used(outage_us + second_us));
-	EXPECT_FALSE(used(outage_us + 2 * second_us));
-	const comet_expiry_config none = {expire_us, 0};
+	EXPECT_TRUE(in_use(outage_us + second_us));
+	EXPECT_FALSE(in_use(outage_us + 2 * second_us));
+	const comet_expiry_config none = {expiry_us, 0};
 	EXPECT_FALSE(comet_instances_schedule_expiry(instances, "i", outage_us, &none, outage_us));
 }
 
-TEST_F(Lapses, WhatIsUnlistedLongAfterAnOutageIsGone)
+TEST_F(Expiry, AnEndpointUnlistedLongAfterAnOutageIsNotUsed)
 {
 	uint64_t outage_us = 10 * second_us;
 	EXPECT_FALSE(comet_instances_schedule_expiry(
-		instances, "i", outage_us, &bounds, outage_us + 5 * second_us));
+		instances, "i", outage_us, &config, outage_us + 5 * second_us));
 }
 
-TEST_F(Lapses, WhatIsListedAgainStays)
+TEST_F(Expiry, AnEndpointThatIsListedAgainDoesNotExpire)
 {
 	uint64_t outage_us = 10 * second_us;
 	ASSERT_TRUE(comet_instances_schedule_expiry(
-		instances, "i", outage_us, &bounds, outage_us + 100000));
+		instances, "i", outage_us, &config, outage_us + 100000));
 	comet_instance_record record = {"i", "llm", "127.0.0.1:1", "z", 4, 0, false, 0};
 	comet_instances_put(instances, &record, outage_us + second_us);
-	EXPECT_TRUE(used(outage_us + 9 * second_us));
+	EXPECT_TRUE(in_use(outage_us + 9 * second_us));
 }
 
-/* Entries of services that nobody uses came and went, each with a name of its own, and something of
- * each stayed. What was learned of a service is kept while it has no endpoint. */
-TEST_F(Lapses, AServiceThatNobodyUsedIsForgottenWithItsLastEndpoint)
+/* State of unused services accumulated while entries with ever new service names were added and
+ * removed. A service for which latency was learned is kept while it has no endpoint. */
+TEST_F(Expiry, AnUnusedServiceIsDroppedWithItsLastEndpoint)
 {
-	comet_instance *used = comet_instances_find(instances, "i");
+	comet_instance *only = comet_instances_find(instances, "i");
 	comet_request_size job = {0, 0, 0, false};
-	comet_instance_started(used, &job);
-	comet_instance_ended(used, &job, true, COMET_DISPATCH_SERVED, 700000, 0, second_us);
+	comet_instance_started(only, &job);
+	comet_instance_ended(only, &job, true, COMET_DISPATCH_SERVED, 700000, 0, second_us);
 	uint64_t learned_us = comet_instances_typical_first_us(instances, "llm", &job);
 	comet_instances_remove(instances, "i");
 	for (int i = 0; i < 1000; i++)
@@ -117,11 +117,11 @@
 	EXPECT_EQ(comet_instances_typical_first_us(instances, "llm", &job), learned_us);
 }
 
-struct LivesOfInstances : ::testing::Test
+struct InstanceIncarnations : ::testing::Test
 {
 	comet_instances *instances = comet_instances_create(nullptr, "z");
 
-	~LivesOfInstances() override
+	~InstanceIncarnations() override
 	{
 		talloc_free(instances);
 	}
@@ -135,43 +135,45 @@
 	}
 };
 
-TEST_F(LivesOfInstances, ALaterLifeKnowsNothingOfTheEarlierOne)
+TEST_F(InstanceIncarnations, ALaterIncarnationStartsWithoutStateOfTheEarlierOne)
 {
-	comet_instance *one = put(1000);
+	comet_instance *earlier = put(1000);
 	uint64_t changes = comet_instances_changes(instances);
-	uint32_t key = one->key;
+	uint32_t key = earlier->key;
 	comet_request_size job = {600, 10, 10, true};
-	comet_instance_started(one, &job);
-	comet_instance_slot_granted(one, 600, second_us);
-	comet_instance_load_reported(one, 3, second_us);
-	comet_instance_seen(one, second_us);
+	comet_instance_started(earlier, &job);
+	comet_instance_slot_granted(earlier, 600, second_us);
+	comet_instance_load_reported(earlier, 3, second_us);
+	comet_instance_seen(earlier, second_us);
 	for (int i = 0; i < 5; i++)
-		comet_instance_ended(one, &job, false, COMET_DISPATCH_BROKEN, 0, 0, 2 * second_us);
-	one->pace = 3;
-	comet_instance *two = put(2000);
-	EXPECT_NE(two->key, key);
-	EXPECT_EQ(two->place, comet_instance_key("i", 0)); /* it stays in its shard */
+		comet_instance_ended(
+			earlier, &job, false, COMET_DISPATCH_BROKEN, 0, 0, 2 * second_us);
+	earlier->pace = 3;
+	comet_instance *later = put(2000);
+	EXPECT_NE(later->key, key);
+	EXPECT_EQ(later->place, comet_instance_key("i", 0)); /* the endpoint stays in its shard */
 	EXPECT_EQ(comet_instances_find_key(instances, key), nullptr);
-	EXPECT_EQ(comet_instances_find(instances, "i"), two);
+	EXPECT_EQ(comet_instances_find(instances, "i"), later);
 	EXPECT_GT(comet_instances_changes(instances), changes);
-	EXPECT_EQ(comet_instance_load(two, second_us), 0U);
-	EXPECT_EQ(comet_instance_owned_load(two, second_us), 0U);
-	EXPECT_EQ(two->local_prompt_tokens + two->failures + two->refusals, 0U);
-	EXPECT_EQ(two->ejected_until_us + two->full_until_us + two->last_seen_us + two->reported_us,
+	EXPECT_EQ(comet_instance_load(later, second_us), 0U);
+	EXPECT_EQ(comet_instance_owned_load(later, second_us), 0U);
+	EXPECT_EQ(later->local_prompt_tokens + later->failures + later->refusals, 0U);
+	EXPECT_EQ(later->ejected_until_us + later->full_until_us + later->last_seen_us +
+			  later->reported_us,
 		0U);
-	EXPECT_EQ(two->pace, 1.0);
+	EXPECT_EQ(later->pace, 1.0);
 	EXPECT_EQ(comet_instances_for_service(instances, "llm")->len, 1U);
 }
 
-/* Ids of equal hash are two endpoints; the one that goes leaves the other to be found. */
-TEST_F(LivesOfInstances, AnEndpointThatGoesTakesNoOtherWithIt)
+/* Two endpoints may have the same key: after one is removed, the other must still be found. */
+TEST_F(InstanceIncarnations, RemovingAnEndpointKeepsAnotherWithTheSameKey)
 {
-	comet_instance *one = put(1000);
+	comet_instance *remaining = put(1000);
 	comet_instance_record record = {"j", "llm", "127.0.0.1:2", "z", 4, 0, false, 5};
-	comet_instance *other = comet_instances_put(instances, &record, second_us);
-	other->key = one->key;
+	comet_instance *removed = comet_instances_put(instances, &record, second_us);
+	removed->key = remaining->key;
 	comet_instances_remove(instances, "j");
-	EXPECT_EQ(comet_instances_find_key(instances, one->key), one);
+	EXPECT_EQ(comet_instances_find_key(instances, remaining->key), remaining);
 }
 
 } // namespace
