--- a/tests/unit/test_speeds.cc
+++ b/tests/unit/test_latency_model.cc
@@ -1,6 +1,6 @@
 /*
- * test_speeds.cc
- * usual times of a service, from a few samples and from many
+ * test_latency_model.cc
+ * latency model of a service, from a few samples and from many
  */
 #include <gtest/gtest.h>
 
@@ -13,9 +13,9 @@
 namespace
 {
 
-/* Found in a log: of a few short prompts the line was flat, and one of 42,000 tokens expected to
- * begin in 36 ms was put before others. */
-TEST(Speeds, AFewShortPromptsDoNotSayThatLengthIsFree)
+/* After a few short prompts, the linear fit was flat: the first event of a prompt of 42,000 tokens
+ * was expected within 36 ms, and the request was placed ahead of others. */
+TEST(LatencyModel, AFewShortPromptsDoNotYieldAFlatFit)
 {
 	comet_latency_model *latency_model = comet_latency_model_create(nullptr);
 	for (uint32_t tokens : {500, 700, 600, 550, 650})
@@ -25,7 +25,7 @@
 	talloc_free(latency_model);
 }
 
-TEST(Speeds, TheLineFollowsTheSamples)
+TEST(LatencyModel, TheFitFollowsTheSamples)
 {
 	comet_latency_model *latency_model = comet_latency_model_create(nullptr);
 	for (uint32_t i = 0; i < 300; i++)
@@ -38,7 +38,7 @@
 	talloc_free(latency_model);
 }
 
-TEST(Speeds, PromptsOfOneLengthTellNoSlope)
+TEST(LatencyModel, PromptsOfOneLengthKeepTheSlopeBounded)
 {
 	comet_latency_model *latency_model = comet_latency_model_create(nullptr);
 	for (int i = 0; i < 100000; i++)
@@ -49,7 +49,7 @@
 	talloc_free(latency_model);
 }
 
-TEST(Speeds, TheFirstSampleDoesNotDecide)
+TEST(LatencyModel, TheFirstSampleDoesNotDominate)
 {
 	comet_latency_model *latency_model = comet_latency_model_create(nullptr);
 	EXPECT_FALSE(comet_latency_model_known(latency_model, COMET_LATENCY_KIND_EVENT));
