--- a/tests/unit/test_outage.cc
+++ b/tests/unit/test_outage.cc
@@ -1,6 +1,6 @@
 /*
  * test_outage.cc
- * which failed calls show an outage of the directory
+ * which failed calls indicate an outage of the directory
  */
 #include <gtest/gtest.h>
 
@@ -14,7 +14,7 @@
 
 constexpr uint64_t second_us = 1000000;
 
-TEST(Outage, AConnectionThatEndsIsNone)
+TEST(Outage, OneClosedConnectionIsNoOutage)
 {
 	comet_outage outage = {};
 	EXPECT_TRUE(comet_outage_failed(&outage, COMET_CALL_ENDED, 10 * second_us, 19 * second_us));
@@ -23,26 +23,26 @@
 	EXPECT_FALSE(outage.failing);
 }
 
-TEST(Outage, ASecondCallInVainShowsOneFromWhenItWasMade)
+TEST(Outage, ASecondFailedCallIsAnOutageFromTheTimeItWasSent)
 {
 	comet_outage outage = {};
 	comet_outage_failed(&outage, COMET_CALL_ENDED, 10 * second_us, 19 * second_us);
 	EXPECT_FALSE(comet_outage_failed(
 		&outage, COMET_CALL_ENDED, 19 * second_us + 50, 19 * second_us + 800000));
 	EXPECT_EQ(comet_outage_answered(&outage), 19 * second_us + 50);
-	/* it is over: the next connection that ends shows none */
+	/* the outage has ended: the next closed connection indicates none */
 	comet_outage_failed(&outage, COMET_CALL_ENDED, 20 * second_us, 25 * second_us);
 	EXPECT_EQ(comet_outage_answered(&outage), 0U);
 }
 
-TEST(Outage, ARefusalShowsOneAtOnce)
+TEST(Outage, ARefusalIsAnOutageAtOnce)
 {
 	comet_outage outage = {};
 	comet_outage_failed(&outage, COMET_CALL_REFUSED, 10 * second_us, 19 * second_us);
 	EXPECT_EQ(comet_outage_answered(&outage), 18 * second_us);
 }
 
-TEST(Outage, TooManyCallsAreNone)
+TEST(Outage, ARateLimitedCallIsNoOutage)
 {
 	comet_outage outage = {};
 	comet_outage_failed(&outage, COMET_CALL_LIMITED, 10 * second_us, 10 * second_us);
@@ -50,8 +50,8 @@
 	EXPECT_EQ(comet_outage_answered(&outage), 0U);
 }
 
-/* What was known of an outage stays known while calls go on failing in other ways. */
-TEST(Outage, ItLastsUntilACallSucceeds)
+/* Calls that fail for another reason do not end an outage. */
+TEST(Outage, AnOutageLastsUntilACallSucceeds)
 {
 	comet_outage outage = {};
 	comet_outage_failed(&outage, COMET_CALL_REFUSED, 10 * second_us, 10 * second_us);
