--- a/tests/unit/test_slow_start.cc
+++ b/tests/unit/test_slow_start.cc
@@ -1,6 +1,6 @@
 /*
  * test_slow_start.cc
- * cold endpoints: what all VMs together send to one within a second, in virtual time
+ * cold endpoints: requests from all VMs to one endpoint within a second, in virtual time
  */
 #include "grants_fleet.h"
 
@@ -18,13 +18,13 @@
 using grants_fleet::fleet;
 
 constexpr uint64_t second_us = 1000000;
-constexpr comet_slow_start_config bounds = {3 * second_us, 15.35};
+constexpr comet_slow_start_config config = {3 * second_us, 15.35};
 
-/* The most sends to one endpoint within any second; since_us: those before do not count. */
+/* Returns the maximum number of requests to one endpoint within any second after since_us. */
 uint32_t
-most_within_a_second(const fleet &all, uint64_t since_us = 0)
+max_within_a_second(const fleet &all, uint64_t since_us = 0)
 {
-	uint32_t most = 0;
+	uint32_t highest = 0;
 	for (auto &endpoint : all.sends)
 	{
 		const std::vector<uint64_t> &at = endpoint.second;
@@ -35,14 +35,14 @@
 			size_t last = first;
 			while (last < at.size() && at[last] - at[first] < second_us)
 				last++;
-			most = std::max(most, (uint32_t)(last - first));
+			highest = std::max(highest, (uint32_t)(last - first));
 		}
 	}
-	return most;
+	return highest;
 }
 
-/* VMs before a few endpoints whose requests are short, so that slots alone would let many more
- * through than a cold endpoint bears. */
+/* VMs that send short requests to a few endpoints, so that the slots alone would admit many more
+ * requests than the limit for cold endpoints. */
 struct short_requests
 {
 	fleet all;
@@ -53,18 +53,18 @@
 	short_requests(uint32_t vms, int endpoints) : all(vms, endpoints), vms(vms)
 	{
 		for (auto &one : all.vms)
-			comet_instances_set_slow_start(one.second.instances, "llm", &bounds);
+			comet_instances_set_slow_start(one.second.instances, "llm", &config);
 		all.sends.clear();
 	}
 
-	/* So many requests each 20 ms, which last 60 ms each. */
+	/* Submits batch requests every 20 ms, each of which runs for 60 ms. */
 	void
-	pass(uint64_t us, uint32_t each, comet_dispatch_result result = COMET_DISPATCH_SERVED)
+	run(uint64_t us, uint32_t batch, comet_dispatch_result result = COMET_DISPATCH_SERVED)
 	{
 		std::uniform_int_distribution<uint32_t> any(1, vms);
 		for (uint64_t end_us = all.now_us + us; all.now_us < end_us;)
 		{
-			for (uint32_t i = 0; i < each; i++)
+			for (uint32_t i = 0; i < batch; i++)
 			{
 				uint32_t vm = any(draw);
 				open.emplace_back(vm, all.submit(vm));
@@ -81,36 +81,35 @@
 	}
 };
 
-TEST(SlowStart, ABurstAfterARestStaysWithinWhatColdEndpointsBear)
+TEST(SlowStart, ABurstAfterAnIdlePeriodStaysWithinTheLimit)
 {
-	short_requests day(6, 4);
-	day.pass(5 * second_us / 2, 20); /* they are warm half a second later */
-	EXPECT_LE(most_within_a_second(day.all), 15U);
-	EXPECT_GE(most_within_a_second(day.all), 4U) << "and they are used";
+	short_requests load(6, 4);
+	load.run(5 * second_us / 2, 20); /* the endpoints become warm half a second later */
+	EXPECT_LE(max_within_a_second(load.all), 15U);
+	EXPECT_GE(max_within_a_second(load.all), 4U) << "the endpoints are used";
 }
 
-TEST(SlowStart, EndpointsThatAreNotColdAreNotBounded)
+TEST(SlowStart, WarmEndpointsAreNotLimited)
 {
-	short_requests day(6, 4);
-	day.pass(3 * second_us, 2);
-	uint64_t warm_until_us = day.all.now_us;
-	day.pass(3 * second_us, 20);
-	EXPECT_GT(most_within_a_second(day.all, warm_until_us + second_us), 15U);
-	short_requests unbounded(6, 4);
+	short_requests load(6, 4);
+	load.run(3 * second_us, 2);
+	uint64_t warm_until_us = load.all.now_us;
+	load.run(3 * second_us, 20);
+	EXPECT_GT(max_within_a_second(load.all, warm_until_us + second_us), 15U);
+	short_requests unlimited(6, 4);
 	comet_slow_start_config none = {3 * second_us, 0};
-	for (auto &one : unbounded.all.vms)
+	for (auto &one : unlimited.all.vms)
 		comet_instances_set_slow_start(one.second.instances, "llm", &none);
-	unbounded.pass(second_us, 20);
-	EXPECT_GT(most_within_a_second(unbounded.all), 15U);
+	unlimited.run(second_us, 20);
+	EXPECT_GT(max_within_a_second(unlimited.all), 15U);
 }
 
-/* The entry's word. */
-TEST(SlowStart, AnEndpointThatSaysItIsColdIsTakenAtItsWord)
+TEST(SlowStart, AnEndpointWhoseEntryReportsAWarmUpIsCold)
 {
-	short_requests day(6, 4);
-	day.pass(4 * second_us, 3);
-	uint64_t cold_us = day.all.now_us;
-	for (auto &one : day.all.vms)
+	short_requests load(6, 4);
+	load.run(4 * second_us, 3);
+	uint64_t cold_us = load.all.now_us;
+	for (auto &one : load.all.vms)
 		for (int i = 0; i < 4; i++)
 		{
 			std::string id = "i" + std::to_string(i);
@@ -118,71 +117,71 @@
 				grants_fleet::slots, 3000, false, 0};
 			comet_instances_put(one.second.instances, &record, cold_us);
 		}
-	day.pass(3 * second_us, 20);
-	EXPECT_LE(most_within_a_second(day.all, cold_us + second_us), 15U);
+	load.run(3 * second_us, 20);
+	EXPECT_LE(max_within_a_second(load.all, cold_us + second_us), 15U);
 }
 
-/* A zone that is given back may be cold, and its entries say so later. */
-TEST(SlowStart, AZoneThatIsRestoredAtOnceIsTakenForCold)
+/* Endpoints of a restored zone may be cold before their entries report it. */
+TEST(SlowStart, EndpointsOfARestoredZoneAreColdAtOnce)
 {
-	short_requests day(6, 4);
-	day.pass(4 * second_us, 3);
-	for (auto &one : day.all.vms)
+	short_requests load(6, 4);
+	load.run(4 * second_us, 3);
+	for (auto &one : load.all.vms)
 		comet_instances_evacuate(one.second.instances, "z");
-	day.pass(second_us / 2, 3);
-	uint64_t restored_us = day.all.now_us;
-	for (auto &one : day.all.vms)
+	load.run(second_us / 2, 3);
+	uint64_t restored_us = load.all.now_us;
+	for (auto &one : load.all.vms)
 		comet_instances_restore(one.second.instances, "z", restored_us);
-	day.pass(2 * second_us, 20);
-	EXPECT_LE(most_within_a_second(day.all, restored_us), 15U);
+	load.run(2 * second_us, 20);
+	EXPECT_LE(max_within_a_second(load.all, restored_us), 15U);
 }
 
-/* A process that ended and is back under the same id tells nothing at first. */
-TEST(SlowStart, AnEndpointThatBrokeIsTakenForColdWhenItIsBack)
+/* A process that has restarted under the same id does not report a warm-up at first. */
+TEST(SlowStart, AnEndpointIsColdAfterFailedConnections)
 {
-	short_requests day(6, 4);
-	day.pass(4 * second_us, 3);
-	day.pass(second_us / 2, 20, COMET_DISPATCH_UNREACHED);
-	uint64_t back_us = day.all.now_us;
-	day.pass(2 * second_us, 20);
-	EXPECT_LE(most_within_a_second(day.all, back_us), 15U);
+	short_requests load(6, 4);
+	load.run(4 * second_us, 3);
+	load.run(second_us / 2, 20, COMET_DISPATCH_UNREACHED);
+	uint64_t back_us = load.all.now_us;
+	load.run(2 * second_us, 20);
+	EXPECT_LE(max_within_a_second(load.all, back_us), 15U);
 }
 
-/* Two VMs keep count at once, on either side of a cut. */
-TEST(SlowStart, TwoSidesOfACutTogetherStayWithinTheBound)
+/* During a network partition, each side has an owner of its own that counts requests. */
+TEST(SlowStart, BothSidesOfAPartitionTogetherStayWithinTheLimit)
 {
-	short_requests day(8, 4);
-	day.all.lost = [](const grants_fleet::mail &one)
+	short_requests load(8, 4);
+	load.all.lost = [](const grants_fleet::mail &one)
 	{ return (one.from <= 4) != (one.to <= 4); };
-	day.all.pass(4 * second_us);
-	day.all.sends.clear();
-	day.pass(5 * second_us / 2, 20);
-	EXPECT_LE(most_within_a_second(day.all), 15U);
-	EXPECT_GE(most_within_a_second(day.all), 4U);
+	load.all.pass(4 * second_us);
+	load.all.sends.clear();
+	load.run(5 * second_us / 2, 20);
+	EXPECT_LE(max_within_a_second(load.all), 15U);
+	EXPECT_GE(max_within_a_second(load.all), 4U);
 }
 
-/* The VM that keeps count is gone, and another one begins without knowing what was sent. */
-TEST(SlowStart, AnOwnerThatDiesInABurst)
+/* The owner fails, and its successor does not know how many requests were sent. */
+TEST(SlowStart, AnOwnerThatFailsDuringABurst)
 {
-	short_requests day(6, 4);
-	uint32_t owner = day.all.keeper_of_all(1);
-	bool dead = false;
-	day.all.lost = [&](const grants_fleet::mail &one)
-	{ return dead && (one.from == owner || one.to == owner); };
-	day.pass(300000, 20);
-	dead = true;
-	day.pass(2 * second_us, 20);
-	EXPECT_LE(most_within_a_second(day.all), 15U);
+	short_requests load(6, 4);
+	uint32_t owner = load.all.keeper_of_all(1);
+	bool owner_failed = false;
+	load.all.lost = [&](const grants_fleet::mail &one)
+	{ return owner_failed && (one.from == owner || one.to == owner); };
+	load.run(300000, 20);
+	owner_failed = true;
+	load.run(2 * second_us, 20);
+	EXPECT_LE(max_within_a_second(load.all), 15U);
 }
 
-/* After all VMs have restarted none keeps count for half a second. */
-TEST(SlowStart, WithoutAnOwnerVmsShareTheBound)
+/* After a restart of all VMs there is no owner for half a second. */
+TEST(SlowStart, WithoutAnOwnerVmsShareTheLimit)
 {
-	short_requests day(40, 4);
-	day.all.asks = false;
-	day.pass(2 * second_us, 40);
-	EXPECT_LE(most_within_a_second(day.all), 15U);
-	EXPECT_GE(most_within_a_second(day.all), 1U);
+	short_requests load(40, 4);
+	load.all.asks = false;
+	load.run(2 * second_us, 40);
+	EXPECT_LE(max_within_a_second(load.all), 15U);
+	EXPECT_GE(max_within_a_second(load.all), 1U);
 }
 
 } // namespace
