--- a/libcometspindle/gateway/fleet/gossip_owners.c
+++ b/libcometspindle/gateway/fleet/gossip_owners.c
@@ -1,59 +1,60 @@
 /*
  * gossip_owners.c
- * which VM keeps count for a key: the same one on all VMs that hear the same
+ * selects the owner of a key by rendezvous hashing
+ *
+ * VMs with the same set of alive peers select the same owner.
  */
 #include <libcometspindle/gateway/fleet/gossip_state.h>
 
 #include <libcometspindle/hash.h>
 
-/* A VM keeps count of endpoints once its process has run this long: by then it has heard what the
- * others have running. */
-#define KEEPER_AGE_US 3000000
+/* Minimum process age of an owner: by then it has received the load reports of the other VMs. */
+#define OWNER_MIN_AGE_US 3000000
 
-/* Where all have just started, nobody knows what ran before, and one that has found the others
- * serves as well. */
-#define YOUNG_KEEPER_AGE_US 500000
+/* Minimum process age if all VMs have just started: no VM knows the earlier load then, and one that
+ * has found the others is good enough. */
+#define STARTUP_OWNER_MIN_AGE_US 500000
 
-/* How well a VM is suited to keep count for a key. */
-struct suitability
+/* A VM that may own a key, with the properties that decide. */
+struct candidate
 {
-	uint32_t address; /* 0: nobody */
-	bool old;         /* it has run long enough to know what the others have running */
-	bool near;        /* it is in the zone of what is counted */
+	uint32_t address;    /* 0: not eligible */
+	bool has_peer_state; /* it has run long enough to know the load of the other VMs */
+	bool same_zone;      /* it is in the zone of the key */
 	uint32_t cpu_percent;
 	uint64_t score;
 };
 
-static struct suitability
-suitability_of(uint32_t address, uint64_t began_us, bool near, uint32_t cpu_percent, uint32_t key,
-	uint64_t now_us)
+static struct candidate
+make_candidate(uint32_t address, uint64_t started_us, bool same_zone, uint32_t cpu_percent,
+	uint32_t key, uint64_t now_us)
 {
-	uint64_t age_us = now_us - began_us;
+	uint64_t age_us = now_us - started_us;
 
-	return (struct suitability){
-		.address = age_us >= YOUNG_KEEPER_AGE_US ? address : 0,
-		.old = age_us >= KEEPER_AGE_US,
-		.near = near,
+	return (struct candidate){
+		.address = age_us >= STARTUP_OWNER_MIN_AGE_US ? address : 0,
+		.has_peer_state = age_us >= OWNER_MIN_AGE_US,
+		.same_zone = same_zone,
 		.cpu_percent = cpu_percent,
 		.score = comet_hash_score(key, address),
 	};
 }
 
-/* Is it better suited than the best so far? */
+/* @return whether a candidate is preferred over the best one so far. */
 static bool
-is_better(const struct suitability *one, const struct suitability *best)
+is_preferred(const struct candidate *candidate, const struct candidate *best)
 {
-	if (one->address == 0 || best->address == 0)
-		return one->address != 0;
-	if (one->old != best->old)
-		return one->old;
-	if (one->near != best->near)
-		return one->near;
-	/* A keeper that starves leaves asks unanswered in a burst, and their requests overfill
-	 * endpoints. */
-	if (one->cpu_percent != best->cpu_percent)
-		return one->cpu_percent > best->cpu_percent;
-	return one->score > best->score;
+	if (candidate->address == 0 || best->address == 0)
+		return candidate->address != 0;
+	if (candidate->has_peer_state != best->has_peer_state)
+		return candidate->has_peer_state;
+	if (candidate->same_zone != best->same_zone)
+		return candidate->same_zone;
+	/* An owner that is short of CPU leaves slot requests unanswered in a burst, and the
+	 * requests behind them then overload endpoints. */
+	if (candidate->cpu_percent != best->cpu_percent)
+		return candidate->cpu_percent > best->cpu_percent;
+	return candidate->score > best->score;
 }
 
 uint32_t
@@ -65,41 +66,42 @@
 
 uint32_t
 comet_gossip_find_responsive_owner(const struct comet_gossip *gossip, uint32_t key, uint32_t zone,
-	comet_gossip_is_unresponsive is_mute, const void *ctx, uint64_t now_us)
+	comet_gossip_is_unresponsive is_unresponsive, const void *ctx, uint64_t now_us)
 {
-	struct suitability best = {0};
+	struct candidate best = {0};
 	GHashTableIter at;
 	gpointer value = NULL;
 
 	if (!gossip->leaving)
-		best = suitability_of(gossip->address, gossip->began_us, gossip->zone == zone,
+		best = make_candidate(gossip->address, gossip->started_us, gossip->zone == zone,
 			gossip->cpu_percent, key, now_us);
 	g_hash_table_iter_init(&at, gossip->peers);
 	while (g_hash_table_iter_next(&at, NULL, &value))
 	{
 		const struct comet_gossip_peer *peer = value;
-		if (peer->last_seen_us == 0 || peer->silent || peer->leaving)
+		if (peer->last_seen_us == 0 || peer->unreachable || peer->leaving)
 			continue;
-		struct suitability one = suitability_of(peer->address, peer->began_us,
+		struct candidate candidate = make_candidate(peer->address, peer->started_us,
 			peer->zone == zone, peer->cpu_percent, key, now_us);
-		if (is_better(&one, &best) && (is_mute == NULL || !is_mute(ctx, one.address)))
-			best = one;
+		if (is_preferred(&candidate, &best) &&
+			(is_unresponsive == NULL || !is_unresponsive(ctx, candidate.address)))
+			best = candidate;
 	}
 	return best.address;
 }
 
-/* The better of two VMs by score alone; addresses, 0: none. */
+/* @return the address with the higher rendezvous score; 0: none. */
 static uint32_t
-higher(uint32_t key, uint32_t one, uint32_t other)
+higher_score(uint32_t key, uint32_t first, uint32_t second)
 {
-	if (one == 0 || other == 0)
-		return one != 0 ? one : other;
-	return comet_hash_score(key, one) > comet_hash_score(key, other) ? one : other;
+	if (first == 0 || second == 0)
+		return first != 0 ? first : second;
+	return comet_hash_score(key, first) > comet_hash_score(key, second) ? first : second;
 }
 
 uint32_t
 comet_gossip_find_seed_owner(const struct comet_gossip *gossip, uint32_t key,
-	comet_gossip_is_unresponsive is_mute, const void *ctx)
+	comet_gossip_is_unresponsive is_unresponsive, const void *ctx)
 {
 	uint32_t best = gossip->is_seed && !gossip->leaving ? gossip->address : 0;
 	GHashTableIter at;
@@ -109,8 +111,8 @@
 	while (g_hash_table_iter_next(&at, NULL, &value))
 	{
 		const struct comet_gossip_peer *peer = value;
-		if (peer->seed && !peer->leaving && !is_mute(ctx, peer->address))
-			best = higher(key, best, peer->address);
+		if (peer->seed && !peer->leaving && !is_unresponsive(ctx, peer->address))
+			best = higher_score(key, best, peer->address);
 	}
 	return best;
 }
@@ -119,8 +121,8 @@
 comet_gossip_count_zone_peers(
 	const struct comet_gossip *gossip, uint64_t now_us, uint32_t *heard, uint32_t *better)
 {
-	struct suitability self = suitability_of(
-		gossip->address, gossip->began_us, true, gossip->cpu_percent, gossip->zone, now_us);
+	struct candidate self = make_candidate(gossip->address, gossip->started_us, true,
+		gossip->cpu_percent, gossip->zone, now_us);
 	GHashTableIter at;
 	gpointer value = NULL;
 
@@ -133,10 +135,10 @@
 		if (!comet_gossip_is_alive(peer) || !comet_gossip_is_same_zone(gossip, peer) ||
 			peer->leaving)
 			continue;
-		struct suitability one = suitability_of(peer->address, peer->began_us, true,
+		struct candidate candidate = make_candidate(peer->address, peer->started_us, true,
 			peer->cpu_percent, gossip->zone, now_us);
 		(*heard)++;
-		*better += is_better(&one, &self) ? 1 : 0;
+		*better += is_preferred(&candidate, &self) ? 1 : 0;
 	}
 }
 
--- a/libcometspindle/gateway/fleet/gossip_state.h
+++ b/libcometspindle/gateway/fleet/gossip_state.h
@@ -1,44 +1,45 @@
 /*
  * gossip_state.h
- * what the files of views share: the VMs that are known, and the zones they are in
+ * internal state of the gossip module: the known VMs and their availability zones
  */
 #ifndef COMETSPINDLE_GATEWAY_GOSSIP_STATE_H
 #define COMETSPINDLE_GATEWAY_GOSSIP_STATE_H
 
 #include <libcometspindle/gateway/fleet/gossip.h>
 
-/* Relays of a zone at a time, others each time: one may be frozen or cut off. */
-#define COMET_GOSSIP_RELAYS 2
+/* Forwarders of a zone. Each round selects others, because one may be frozen or partitioned. */
+#define COMET_GOSSIP_FORWARDERS 2
 
-/** Another VM, as its views tell. */
+/** Another VM and the state that its last view reported. */
 struct comet_gossip_peer
 {
 	uint32_t address;
 	uint64_t incarnation;
 	uint64_t number;
-	uint64_t last_seen_us; /* 0: never */
-	uint64_t known_us;     /* first heard of */
-	uint64_t began_us;     /* its process, by its own word */
-	uint64_t asked_us;     /* last sent to */
+	uint64_t last_seen_us;   /* 0: no view received yet */
+	uint64_t first_known_us; /* when this VM first learned of it */
+	uint64_t started_us;     /* start of its process, from the age that it reports */
+	uint64_t last_sent_us;   /* when a view was last sent to it */
 	uint64_t revision;
-	uint32_t zone; /* 0: not known */
+	uint32_t zone; /* 0: unknown */
 	uint32_t cpu_percent;
-	bool leaving; /* it stops; until it is silent it may still spend */
-	bool silent;
-	bool owed;     /* it is new to us, so that we are to it: it gets our view at once */
-	bool seeking;  /* it hears nobody: it gets our view at once, with VMs of its zone */
-	bool followed; /* its spending has been told before */
+	bool leaving; /* it is stopping, but may still spend until it is unreachable */
+	bool unreachable;
+	bool needs_view; /* send it a view without waiting for a round, since it may not know this
+			    VM */
+	bool isolated;   /* it has no peers: answer with a view that lists VMs of its zone */
+	bool has_reported_spending; /* an earlier view of this incarnation was merged */
 	bool seed;
-	GArray *busy;      /* of comet_Busy */
-	GHashTable *spent; /* team -> uint64_t, as last told */
+	GArray *loads;                 /* of comet_Busy */
+	GHashTable *reported_spending; /* team -> uint64_t, the amount last reported */
 };
 
-/** The VMs of another zone that are heard. */
+/** Alive VMs of another zone. */
 struct comet_gossip_zone
 {
 	uint32_t count;
-	uint32_t relays[COMET_GOSSIP_RELAYS]; /* addresses; 0: none */
-	uint64_t scores[COMET_GOSSIP_RELAYS];
+	uint32_t forwarders[COMET_GOSSIP_FORWARDERS]; /* addresses; 0: none */
+	uint64_t scores[COMET_GOSSIP_FORWARDERS];
 };
 
 struct comet_gossip
@@ -46,7 +47,7 @@
 	uint32_t address;
 	uint64_t incarnation;
 	uint64_t number;
-	uint64_t began_us;
+	uint64_t started_us;
 	uint64_t revision;
 	uint32_t window_ms;
 	uint32_t zone;
@@ -60,52 +61,52 @@
 	void *ctx;
 	GHashTable *peers; /* address -> struct comet_gossip_peer */
 	GHashTable *zones; /* other zones: id -> struct comet_gossip_zone, as of the last tick */
-	uint32_t near_count;
-	uint32_t far_count;
-	size_t last_bytes; /* size of the last view */
-	uint64_t near_sent_us;
-	uint64_t far_sent_us;
-	bool is_seed;        /* this VM is one of its own seeds */
-	uint32_t spent_turn; /* where the list of teams goes on */
-	uint32_t peers_turn; /* where the list of VMs goes on */
+	uint32_t zone_peer_count;
+	uint32_t remote_peer_count;
+	size_t view_bytes; /* size of the last view */
+	uint64_t zone_sent_us;
+	uint64_t all_sent_us;
+	bool is_seed;       /* this VM is one of its own seeds */
+	uint32_t next_team; /* where the next view continues the list of teams */
+	uint32_t next_peer; /* where the next view continues the list of VMs */
 	bool leaving;
-	bool urgent;            /* there is news for all */
-	bool stale;             /* others' dispatches are to be summed anew */
-	comet_Datagram scratch; /* to be sent */
+	bool broadcast_pending;  /* the next round goes to all VMs, ahead of schedule */
+	bool remote_load_stale;  /* remote load must be summed again */
+	comet_Datagram outgoing; /* the datagram being built */
 };
 
-/** Is this VM in our own zone? */
+/** @return whether a VM is in the zone of this VM. */
 static inline bool
 comet_gossip_is_same_zone(const struct comet_gossip *gossip, const struct comet_gossip_peer *peer)
 {
 	return peer->zone == gossip->zone;
 }
 
-/** Is this VM heard, of a zone that is known? */
+/** @return whether a VM is reachable and its zone is known. */
 static inline bool
 comet_gossip_is_alive(const struct comet_gossip_peer *peer)
 {
-	return peer->last_seen_us != 0 && !peer->silent && peer->zone != 0;
+	return peer->last_seen_us != 0 && !peer->unreachable && peer->zone != 0;
 }
 
-/** Looks who is there, near and far (views_rounds.c). */
+/** Counts the VMs of each zone and selects the forwarders of the other zones (gossip_rounds.c). */
 void
 comet_gossip_count_zones(struct comet_gossip *gossip);
 
-/** Time between two rounds of views to near or to far VMs, as their number and the budgets allow.
- */
+/** @return the time between two rounds to the VMs of this zone, or to all VMs, which follows from
+ * the number of VMs and the byte budgets. */
 uint64_t
-comet_gossip_round_interval_us(const struct comet_gossip *gossip, bool near);
+comet_gossip_round_interval_us(const struct comet_gossip *gossip, bool same_zone);
 
-/** Sends this VM's view to the near VMs, and with far to all. */
+/** Sends this VM's view to the VMs of its zone, or to all VMs. */
 void
-comet_gossip_send_round(struct comet_gossip *gossip, bool far, uint64_t now_us);
+comet_gossip_send_round(struct comet_gossip *gossip, bool all_zones, uint64_t now_us);
 
-/** Sends this VM's view to those that it is new to, without waiting for a round. */
+/** Sends this VM's view to newly found VMs without waiting for a round. */
 void
 comet_gossip_send_to_new_peers(struct comet_gossip *gossip, uint64_t now_us);
 
-/** Sends a view of another zone to the VMs of this one. */
+/** Forwards a view from another zone to the VMs of this zone. */
 void
 comet_gossip_forward_to_zone(struct comet_gossip *gossip, const comet_View *view);
 
