--- a/libcometspindle/gateway/fleet/reader_election.c
+++ b/libcometspindle/gateway/fleet/reader_election.c
@@ -1,6 +1,6 @@
 /*
  * reader_election.c
- * whether this VM reads the directory, or follows the readers of its availability zone
+ * decides whether this VM reads the directory or follows the readers of its availability zone
  */
 #include <libcometspindle/gateway/fleet/reader_election.h>
 
@@ -8,42 +8,43 @@
 #include <libcometspindle/random.h>
 #include <talloc.h>
 
-/* In smaller zones readers would save too few calls. */
-#define ZONE_MIN 8
+/* In smaller zones, readers would save too few calls. */
+#define ZONE_VMS_MIN 8
 
-/* Readers of a zone: one may be frozen, partitioned or gone. */
-#define READERS 2
+/* Readers per zone: one may be frozen, partitioned or gone. */
+#define READERS_PER_ZONE 2
 
-/* Remembered readers: those before and after a change. */
+/* Stored reports: those of the readers before and after a change of readers. */
 #define REPORTS_MAX 8
 
-/* Jitter of VMs that lose their readers together. */
+/* Spreads the directory calls of VMs that lose their readers at the same time. */
 #define JITTER_US 300000
 
-/* A reader provides what it reports within milliseconds; after this time it does not. */
+/* A reader provides the data that it reports within milliseconds. If a reader stays
+ * ahead for this time, this VM reads the directory itself. */
 #define STALE_GRACE_US 600000
 
-/* A VM whose request failed reads for itself for this time. */
-#define FAILED_US 1000000
+/* After a failed request to a reader, a VM reads the directory itself for this time. */
+#define FAILURE_FALLBACK_US 1000000
 
-/* The last report of a reader. */
+/* Last report of a reader. */
 struct report
 {
 	uint32_t vm;
 	uint64_t position;
 	uint64_t complete;
-	uint64_t answered_us; /* when the directory answered the reader */
+	uint64_t answered_us; /* when the directory last answered the reader */
 };
 
 struct comet_reader_election
 {
 	struct comet_random draw;
-	uint64_t followed_us; /* how long a report is fresh */
+	uint64_t followed_us; /* time for which a report is fresh */
 	struct report reports[REPORTS_MAX];
 	uint64_t jitter_us;   /* drawn with each report */
 	uint64_t answered_us; /* newest of all reports */
-	uint64_t stale_us;    /* since when a reader is ahead; 0: not */
-	uint64_t failed_us;   /* when a request last failed; 0: never */
+	uint64_t stale_us;    /* since when a reader has been ahead; 0: none is */
+	uint64_t failed_us;   /* when a request to a reader last failed; 0: never */
 };
 
 struct comet_reader_election *
@@ -63,19 +64,19 @@
 	return age_us < reader_election->followed_us;
 }
 
-/* @return the reader's slot, or the oldest one. */
+/* @return the entry of the reader or, if it has none, the oldest entry. */
 static struct report *
-slot_of(struct comet_reader_election *reader_election, uint32_t vm)
+find_entry(struct comet_reader_election *reader_election, uint32_t vm)
 {
 	struct report *oldest = &reader_election->reports[0];
 
 	for (size_t i = 0; i < REPORTS_MAX; i++)
 	{
-		struct report *one = &reader_election->reports[i];
-		if (one->vm == vm)
-			return one;
-		if (one->answered_us < oldest->answered_us)
-			oldest = one;
+		struct report *entry = &reader_election->reports[i];
+		if (entry->vm == vm)
+			return entry;
+		if (entry->answered_us < oldest->answered_us)
+			oldest = entry;
 	}
 	return oldest;
 }
@@ -84,24 +85,24 @@
 comet_reader_election_report(struct comet_reader_election *reader_election,
 	const struct comet_reader_report *report, uint64_t now_us)
 {
-	struct report *kept = slot_of(reader_election, report->vm);
+	struct report *entry = find_entry(reader_election, report->vm);
 
-	kept->vm = report->vm;
-	kept->position = report->position;
-	kept->complete = report->complete;
-	kept->answered_us = now_us - MIN(report->age_us, now_us);
-	reader_election->answered_us = MAX(reader_election->answered_us, kept->answered_us);
+	entry->vm = report->vm;
+	entry->position = report->position;
+	entry->complete = report->complete;
+	entry->answered_us = now_us - MIN(report->age_us, now_us);
+	reader_election->answered_us = MAX(reader_election->answered_us, entry->answered_us);
 	reader_election->jitter_us =
 		(uint64_t)(JITTER_US * comet_random_double(&reader_election->draw));
 }
 
 static bool
-is_fresh(const struct comet_reader_election *reader_election, const struct report *kept,
+is_fresh(const struct comet_reader_election *reader_election, const struct report *entry,
 	uint64_t now_us)
 {
-	uint64_t age_us = now_us - MIN(kept->answered_us, now_us);
+	uint64_t age_us = now_us - MIN(entry->answered_us, now_us);
 
-	return kept->vm != 0 && comet_reader_election_is_fresh(reader_election, age_us);
+	return entry->vm != 0 && comet_reader_election_is_fresh(reader_election, age_us);
 }
 
 uint32_t
@@ -112,10 +113,10 @@
 
 	for (size_t i = 0; i < REPORTS_MAX; i++)
 	{
-		const struct report *one = &reader_election->reports[i];
-		if (is_fresh(reader_election, one, now_us) && one->position > position &&
-			(best == NULL || one->position > best->position))
-			best = one;
+		const struct report *entry = &reader_election->reports[i];
+		if (is_fresh(reader_election, entry, now_us) && entry->position > position &&
+			(best == NULL || entry->position > best->position))
+			best = entry;
 	}
 	return best != NULL ? best->vm : 0;
 }
@@ -126,9 +127,9 @@
 {
 	for (size_t i = 0; i < REPORTS_MAX; i++)
 	{
-		const struct report *one = &reader_election->reports[i];
-		if (is_fresh(reader_election, one, now_us) && one->complete > position)
-			return one->vm;
+		const struct report *entry = &reader_election->reports[i];
+		if (is_fresh(reader_election, entry, now_us) && entry->complete > position)
+			return entry->vm;
 	}
 	return 0;
 }
@@ -142,14 +143,15 @@
 
 	for (size_t i = 0; i < REPORTS_MAX; i++)
 	{
-		const struct report *one = &reader_election->reports[i];
-		if (is_fresh(reader_election, one, now_us) && one->position >= position)
-			fresh[count++] = one->vm;
+		const struct report *entry = &reader_election->reports[i];
+		if (is_fresh(reader_election, entry, now_us) && entry->position >= position)
+			fresh[count++] = entry->vm;
 	}
 	return count > 0 ? fresh[comet_random_u32(&reader_election->draw) % count] : 0;
 }
 
-/* Has a reader been ahead for too long? Its reports are false, or its link is too slow. */
+/* @return whether a reader has been ahead for too long: its reports are false or its link is too
+ * slow. */
 static bool
 is_stale(struct comet_reader_election *reader_election, uint64_t position, uint64_t now_us)
 {
@@ -169,19 +171,19 @@
 
 enum comet_directory_mode
 comet_reader_election_decide(struct comet_reader_election *reader_election,
-	const struct comet_reader_election_state *sight, uint64_t now_us)
+	const struct comet_reader_election_state *state, uint64_t now_us)
 {
-	bool failed =
-		reader_election->failed_us != 0 && now_us - reader_election->failed_us < FAILED_US;
-	bool stale = is_stale(reader_election, sight->position, now_us) || failed;
-	uint64_t until_us = reader_election->answered_us + reader_election->followed_us +
-			    reader_election->jitter_us;
+	bool failed = reader_election->failed_us != 0 &&
+		      now_us - reader_election->failed_us < FAILURE_FALLBACK_US;
+	bool stale = is_stale(reader_election, state->position, now_us) || failed;
+	uint64_t expiry_us = reader_election->answered_us + reader_election->followed_us +
+			     reader_election->jitter_us;
 
-	if (!sight->listed || sight->zone_vms < ZONE_MIN)
+	if (!state->listed || state->zone_vms < ZONE_VMS_MIN)
 		return COMET_DIRECTORY_MODE_DIRECT;
-	if (!sight->leaving && sight->better < READERS)
+	if (!state->leaving && state->better < READERS_PER_ZONE)
 		return COMET_DIRECTORY_MODE_READER;
-	if (stale || reader_election->answered_us == 0 || now_us >= until_us)
+	if (stale || reader_election->answered_us == 0 || now_us >= expiry_us)
 		return COMET_DIRECTORY_MODE_FALLBACK;
 	return COMET_DIRECTORY_MODE_FOLLOWER;
 }
