--- a/libcometspindle/gateway/directory.h
+++ b/libcometspindle/gateway/directory.h
@@ -1,10 +1,10 @@
 /*
  * directory.h
- * port: where the routing document and the endpoints are read from
+ * port: the source of the routing document and the endpoints
  *
- * Behind a vtable: the platform's adapter implements it. Nothing is ever
- * written there. VMs resync from one another by snapshots and deltas, whose form
- * is the adapter's own.
+ * The adapter of the platform implements the vtable. The directory is never
+ * written to. VMs resync from one another by snapshots and deltas, whose format
+ * is private to the adapter.
  */
 #ifndef COMETSPINDLE_GATEWAY_DIRECTORY_H
 #define COMETSPINDLE_GATEWAY_DIRECTORY_H
@@ -16,9 +16,9 @@
 #include <stdint.h>
 
 /**
- * How far somebody has read the directory, as one number by which VMs compare: what is of a later
- * era is newer, whatever its revision. A directory that comes back from an earlier copy gives
- * revisions out again, in the next era.
+ * A position states how far a VM has read the directory, as one number that VMs can compare. A
+ * position in a later epoch is newer, whatever its revision: a directory that is restored from an
+ * earlier copy reuses revisions in the next epoch.
  */
 #define COMET_DIRECTORY_REVISION_BITS 44 /* 400 writes a second for 1,300 years */
 #define COMET_DIRECTORY_EPOCH_MAX ((1U << 19) - 1)
@@ -43,105 +43,109 @@
 	return position & ((1ULL << COMET_DIRECTORY_REVISION_BITS) - 1);
 }
 
-/** Something in the directory that could not be read. */
+/** An item of the directory that is invalid. */
 struct comet_directory_invalid_item
 {
-	const char *key;   /**< where it stands, as the directory names it */
-	uint64_t revision; /**< of its last change */
+	const char *key;   /**< its key in the directory */
+	uint64_t revision; /**< revision of its last change */
 	const char *why;
-	const char *endpoint; /**< id that names no endpoint to use any more; NULL: what was read of
-				 the item before stays in force */
+	const char *endpoint; /**< id of an endpoint that must not be used any more; NULL: the
+				 previous version of the item stays in force */
 };
 
-/** What a call to the directory was, by its end. */
+/** Outcome of a call to the directory. */
 enum comet_directory_call
 {
-	COMET_DIRECTORY_CALL_PAGE,       /**< of a list: at a start, or after a loss of history */
-	COMET_DIRECTORY_CALL_CHANGES,    /**< a wait that something new ended */
-	COMET_DIRECTORY_CALL_NO_CHANGES, /**< a wait that ended without */
-	COMET_DIRECTORY_CALL_FAILED,     /**< refused, or not answered */
+	COMET_DIRECTORY_CALL_PAGE, /**< page of a list, which is read at a start or after a loss of
+				      history */
+	COMET_DIRECTORY_CALL_CHANGES,    /**< a watch that ended with changes */
+	COMET_DIRECTORY_CALL_NO_CHANGES, /**< a watch that ended without changes */
+	COMET_DIRECTORY_CALL_FAILED,     /**< refused or unanswered */
 };
 
 #define COMET_DIRECTORY_CALLS (COMET_DIRECTORY_CALL_FAILED + 1)
 
 struct comet_directory_events
 {
-	/** A newer routing document; the callee takes the reference. lag_us: time since its
-	 * existence was reported. */
+	/** A newer routing document was read; the callee takes the reference. lag_us: time since
+	 * its existence was reported. */
 	void (*routes)(void *ctx, struct comet_route_table *table, uint64_t lag_us);
-	/** An endpoint's process is there, or changed. */
+	/** An endpoint was added or changed. */
 	void (*instance)(void *ctx, const struct comet_instance_record *record);
-	/** It is listed no more. outage_us: the directory was out and it may come back; when it was
-	 * last known to be out, though not how much longer. 0: it is gone. */
+	/** An endpoint is no longer listed. outage_us: when the directory was last known to be
+	 * down, if the endpoint may come back after that outage. The outage may have lasted longer.
+	 * 0: the endpoint is gone. */
 	void (*instance_gone)(void *ctx, const char *id, uint64_t outage_us);
-	/** The endpoints of an availability zone are to get no new work. */
+	/** An availability zone was evacuated: its endpoints receive no new requests. */
 	void (*evacuated)(void *ctx, const char *zone);
-	/** That order has ended. doubtful: it is missing in an earlier copy from which the
-	 * directory has come back, and may be written again. */
+	/** The evacuation of a zone has ended. tentative: the order is missing from an earlier copy
+	 * from which the directory was restored, and may be written again. */
 	void (*restored)(void *ctx, const char *zone, bool tentative);
-	/** An item that cannot be read was published; the others hold. */
-	void (*refused)(void *ctx, const struct comet_directory_invalid_item *refusal);
-	/** Everything up to a position has been reported, and endpoints up to another one. */
+	/** An invalid item was published; the other items stay in force. */
+	void (*refused)(void *ctx, const struct comet_directory_invalid_item *item);
+	/** All changes up to `position` have been reported, and those of endpoints up to
+	 * `endpoints`. */
 	void (*revision)(void *ctx, uint64_t position, uint64_t endpoints);
-	/** Another history of the directory is read from now on. */
+	/** The directory has started another epoch, in which its history is read from now on. */
 	void (*epoch)(void *ctx, uint64_t epoch, uint64_t before);
-	/** A call has ended; told each time. */
+	/** A call has ended; reported for each call. */
 	void (*called)(void *ctx, enum comet_directory_call call);
-	/** It has answered a call; told each time. */
+	/** The directory has answered a call; reported for each answer. */
 	void (*answered)(void *ctx);
-	/** The directory answers again (there), or does not. */
+	/** The directory answers again (there) or has stopped answering. */
 	void (*dependency)(void *ctx, bool there, const char *why);
 };
 
-/** Whether a VM reads the directory itself. */
+/** How a VM reads the directory. */
 enum comet_directory_mode
 {
-	COMET_DIRECTORY_MODE_DIRECT,   /**< for itself */
-	COMET_DIRECTORY_MODE_READER,   /**< and tells other VMs at once */
-	COMET_DIRECTORY_MODE_FOLLOWER, /**< others tell it */
-	COMET_DIRECTORY_MODE_FALLBACK, /**< for itself, until others tell it again */
+	COMET_DIRECTORY_MODE_DIRECT,   /**< reads it for itself */
+	COMET_DIRECTORY_MODE_READER,   /**< reads it and reports changes to other VMs immediately */
+	COMET_DIRECTORY_MODE_FOLLOWER, /**< receives changes from readers */
+	COMET_DIRECTORY_MODE_FALLBACK, /**< reads it for itself until a reader reports again */
 };
 
 struct comet_directory;
 
 struct comet_directory_ops
 {
-	/** Starts reading; goes on until the directory is freed. */
+	/** Starts reading, which continues until the directory is freed. */
 	void (*start)(struct comet_directory *directory);
-	/** So many VMs read the same directory: the more, the less each needs to ask. */
+	/** Sets the number of VMs that read the same directory; with more VMs, each polls less
+	 * often. */
 	void (*set_vms)(struct comet_directory *directory, uint32_t vms);
-	/** Restarts a watch that has waited for so long while peers reported news. @return whether
-	 * there was one. */
+	/** Restarts a watch that has waited for this long while peers reported changes. @return
+	 * whether there was one. */
 	bool (*restart_stale_watch)(struct comet_directory *directory, uint64_t for_us);
-	/** @return whether an answer is arriving. */
+	/** @return whether an answer is being received. */
 	bool (*is_arriving)(const struct comet_directory *directory);
-	/** Reads from now on in another way. */
-	void (*set_mode)(struct comet_directory *directory, enum comet_directory_mode reading);
-	/** What it knows is that of a VM which the directory answers. */
+	/** Changes how the directory is read. */
+	void (*set_mode)(struct comet_directory *directory, enum comet_directory_mode mode);
+	/** Records that the local state matches that of a VM to which the directory answers. */
 	void (*followed)(struct comet_directory *directory);
-	/** Writes all changes after a position for a peer. @return NULL if they are not known: a
-	 * snapshot has to do. */
+	/** Encodes all changes after a position for a peer. @return NULL if they are unknown and a
+	 * snapshot is needed. */
 	GBytes *(*delta)(struct comet_directory *directory, uint64_t after);
-	/** The same for endpoints only; a newer routing document is mentioned. */
+	/** Like delta, but for endpoints only; it mentions a newer routing document. */
 	GBytes *(*endpoints_delta)(struct comet_directory *directory, uint64_t after);
-	/** Writes the query by which a peer is asked for the routing document; free with g_free().
-	 */
+	/** Builds the query by which this VM requests the routing document from a peer; free with
+	 * g_free(). */
 	char *(*query)(struct comet_directory *directory);
-	/** Answers such a query. @return NULL if the document is not known. */
+	/** Answers such a query. @return NULL if the document is unknown. */
 	GBytes *(*documents)(struct comet_directory *directory, const char *query);
-	/** @return the position of a routing document that a peer reported and that is not here, or
-	 * 0. */
+	/** @return the position of a routing document that a peer reported and that this VM lacks,
+	 * or 0. */
 	uint64_t (*missing_document)(const struct comet_directory *directory);
 	/** Reads the routing document from the directory itself. */
 	void (*read_document)(struct comet_directory *directory);
-	/** Writes everything for a peer. @return NULL while something is missing. */
+	/** Encodes all data for a peer. @return NULL while data is missing. */
 	GBytes *(*snapshot)(struct comet_directory *directory);
 	/** Applies a peer's snapshot or delta if it is newer. */
 	gboolean (*offer)(
 		struct comet_directory *directory, const char *data, size_t length, GError **error);
 };
 
-/** Vtable first; adapters extend it. */
+/** Base of all directories: adapters extend it, and the vtable comes first. */
 struct comet_directory
 {
 	const struct comet_directory_ops *ops;
--- a/libcometspindle/gateway/event_stream.c
+++ b/libcometspindle/gateway/event_stream.c
@@ -1,34 +1,34 @@
 /*
  * event_stream.c
- * cuts a stream of server-sent events into whole events
+ * splits a stream of server-sent events into whole events
  */
 #include <libcometspindle/gateway/event_stream.h>
 
 #include <string.h>
 #include <talloc.h>
 
-/* An event that is larger than this is passed on in parts as they come: one holds some tokens, or a
- * whole answer in text, and an endpoint that never ends one must not fill a VM's 64 MB. */
+/* A larger event is passed on in parts as they arrive. An event holds a few tokens, or a whole
+ * answer as text, and an endpoint that never ends an event must not fill the 64 MB of a VM. */
 #define EVENT_MAX_BYTES (512 * 1024)
 
-/* Bytes that are kept of an event in parts, by which its end is known. */
-#define END_BYTES 2
+/* Bytes of a partly passed event that stay buffered, so that its end can be detected. */
+#define EVENT_END_BYTES 2
 
-/* Longest id with which a stream is taken up: it goes into a header, whose usual bound for all is
- * 8 KB. */
+/* Longest event id with which a stream can be resumed. The id is sent in a header, and all headers
+ * together are usually limited to 8 KB. */
 #define ID_MAX_BYTES 1024
 
 struct comet_event_stream
 {
 	GByteArray *bytes;
-	size_t whole;   /* length of the whole events at the beginning */
-	size_t ready;   /* what may be passed on of the beginning */
-	size_t scanned; /* bytes looked at for an event's end */
+	size_t whole_bytes;   /* length of the whole events at the start of the buffer */
+	size_t ready_bytes;   /* length that can be passed on */
+	size_t scanned_bytes; /* bytes already searched for the end of an event */
 	char *last_id;
 	uint32_t count;
-	bool has_data; /* the event whose lines are read has one that is no comment and no id */
+	bool has_data; /* the current event has a line that is neither a comment nor an id */
 	bool has_id;
-	bool in_parts; /* the beginning of an event that is not whole was passed on */
+	bool in_parts; /* the start of an unfinished event was passed on */
 };
 
 static int
@@ -48,9 +48,9 @@
 	return stream;
 }
 
-/* Does an event end with the line break at this place? An empty line ends it. */
+/* @return whether the line break at this offset ends an event, because it ends an empty line. */
 static bool
-ends_at(const guint8 *bytes, size_t at)
+is_event_end(const guint8 *bytes, size_t at)
 {
 	if (bytes[at] != '\n' || at == 0)
 		return false;
@@ -59,15 +59,15 @@
 	return at >= 2 && bytes[at - 1] == '\r' && bytes[at - 2] == '\n';
 }
 
-/* Does a blank line end here that no event is before? It goes on by itself: left with the next
- * event, it would be an unfinished one at the end of a stream. */
+/* @return whether a blank line without an event before it ends here. It is passed on separately:
+ * joined to the next event, it would count as an unfinished event at the end of a stream. */
 static bool
 is_blank_line(const struct comet_event_stream *stream)
 {
-	const guint8 *line = stream->bytes->data + stream->whole;
-	size_t length = stream->scanned + 1 - stream->whole;
+	const guint8 *line = stream->bytes->data + stream->whole_bytes;
+	size_t length = stream->scanned_bytes + 1 - stream->whole_bytes;
 
-	if (stream->in_parts && stream->whole == 0)
+	if (stream->in_parts && stream->whole_bytes == 0)
 		return false;
 	return (length == 1 && line[0] == '\n') ||
 	       (length == 2 && line[0] == '\r' && line[1] == '\n');
@@ -77,20 +77,20 @@
 comet_event_stream_add(struct comet_event_stream *stream, const char *data, size_t length)
 {
 	g_byte_array_append(stream->bytes, (const guint8 *)data, (guint)length);
-	for (; stream->scanned < stream->bytes->len; stream->scanned++)
+	for (; stream->scanned_bytes < stream->bytes->len; stream->scanned_bytes++)
 	{
 		bool blank = is_blank_line(stream);
-		if (!blank && !ends_at(stream->bytes->data, stream->scanned))
+		if (!blank && !is_event_end(stream->bytes->data, stream->scanned_bytes))
 			continue;
-		stream->whole = stream->scanned + 1;
+		stream->whole_bytes = stream->scanned_bytes + 1;
 		stream->count += blank ? 0 : 1;
 	}
-	size_t rest = stream->bytes->len - stream->whole;
-	bool goes_on = stream->in_parts && stream->whole == 0;
-	stream->ready = stream->whole;
-	if (rest > (goes_on ? END_BYTES : EVENT_MAX_BYTES))
-		stream->ready += rest - END_BYTES;
-	return stream->ready;
+	size_t rest = stream->bytes->len - stream->whole_bytes;
+	bool within_event = stream->in_parts && stream->whole_bytes == 0;
+	stream->ready_bytes = stream->whole_bytes;
+	if (rest > (within_event ? EVENT_END_BYTES : EVENT_MAX_BYTES))
+		stream->ready_bytes += rest - EVENT_END_BYTES;
+	return stream->ready_bytes;
 }
 
 const char *
@@ -99,7 +99,7 @@
 	return (const char *)stream->bytes->data;
 }
 
-/* Can an id go into a header as it is? */
+/* @return whether an event id is valid as the value of a header. */
 static bool
 is_header_value(const char *id, size_t length)
 {
@@ -112,10 +112,10 @@
 	return length > 0 && length <= ID_MAX_BYTES;
 }
 
-/* Remembers the id of a line "id: TEXT"; after one that cannot be told an endpoint, the stream
- * cannot be taken up. */
+/* Records the id of a line "id: TEXT". If the id cannot be sent in a header, the stream cannot be
+ * resumed. */
 static void
-take_id(struct comet_event_stream *stream, const char *line, size_t length)
+record_id(struct comet_event_stream *stream, const char *line, size_t length)
 {
 	line += 3;
 	length -= 3;
@@ -132,8 +132,8 @@
 		stream->last_id = talloc_strndup(stream, line, length);
 }
 
-/* An event that has no id, or an empty one, cannot be gone on after: taken up after the id before
- * it, a stream would have that event twice. A comment is no event. */
+/* A stream cannot be resumed after an event without an id or with an empty one: resumed after the
+ * previous id, it would repeat the event. A comment is not an event. */
 static void
 end_event(struct comet_event_stream *stream)
 {
@@ -144,24 +144,25 @@
 }
 
 static void
-take_line(struct comet_event_stream *stream, const char *line, size_t length)
+parse_line(struct comet_event_stream *stream, const char *line, size_t length)
 {
 	bool blank = length == 0 || (length == 1 && line[0] == '\r');
 
 	if (blank)
 		end_event(stream);
 	else if (length >= 3 && strncmp(line, "id:", 3) == 0)
-		take_id(stream, line, length);
+		record_id(stream, line, length);
 	else if (line[0] != ':')
 		stream->has_data = true;
 }
 
-/* Takes the ids of the whole events; of a line whose beginning has gone nothing is known. */
+/* Records the ids of the whole events. The first line is skipped if its start has already been
+ * removed. */
 static void
-take_ids(struct comet_event_stream *stream)
+record_ids(struct comet_event_stream *stream)
 {
 	const char *at = (const char *)stream->bytes->data;
-	const char *end = at + stream->whole;
+	const char *end = at + stream->whole_bytes;
 
 	while (at < end)
 	{
@@ -169,7 +170,7 @@
 		if (stream->in_parts)
 			stream->has_data = true;
 		else
-			take_line(stream, at, (size_t)(line_end - at));
+			parse_line(stream, at, (size_t)(line_end - at));
 		stream->in_parts = false;
 		at = line_end + 1;
 	}
@@ -178,23 +179,23 @@
 void
 comet_event_stream_consume(struct comet_event_stream *stream)
 {
-	take_ids(stream);
-	if (stream->ready > stream->whole)
+	record_ids(stream);
+	if (stream->ready_bytes > stream->whole_bytes)
 	{
-		/* Nothing can follow on half an event but its rest. */
+		/* Only the rest of a partly passed event can follow it. */
 		stream->in_parts = true;
 		TALLOC_FREE(stream->last_id);
 	}
-	g_byte_array_remove_range(stream->bytes, 0, (guint)stream->ready);
-	stream->scanned -= stream->ready;
-	stream->whole = 0;
-	stream->ready = 0;
+	g_byte_array_remove_range(stream->bytes, 0, (guint)stream->ready_bytes);
+	stream->scanned_bytes -= stream->ready_bytes;
+	stream->whole_bytes = 0;
+	stream->ready_bytes = 0;
 }
 
 size_t
 comet_event_stream_unfinished(const struct comet_event_stream *stream)
 {
-	return stream->bytes->len - stream->ready;
+	return stream->bytes->len - stream->ready_bytes;
 }
 
 size_t
@@ -203,9 +204,9 @@
 	size_t unfinished = comet_event_stream_unfinished(stream);
 
 	g_byte_array_set_size(stream->bytes, 0);
-	stream->scanned = 0;
-	stream->whole = 0;
-	stream->ready = 0;
+	stream->scanned_bytes = 0;
+	stream->whole_bytes = 0;
+	stream->ready_bytes = 0;
 	return unfinished;
 }
 
--- a/libcometspindle/gateway/event_stream.h
+++ b/libcometspindle/gateway/event_stream.h
@@ -1,10 +1,11 @@
 /*
  * event_stream.h
- * cuts a stream of server-sent events into whole events
+ * splits a stream of server-sent events into whole events
  *
- * A reader of ours never sees part of an event: what a broken endpoint left
- * unfinished is dropped, and another may go on after the last whole one. One that
- * is too large to be held is passed on in parts, and none goes on after these.
+ * A client never receives part of an event: an event that a broken endpoint left
+ * unfinished is dropped, and another endpoint can resume after the last whole one.
+ * The exception is an event that is too large to buffer. It is passed on in parts,
+ * and the stream cannot be resumed within it.
  */
 #ifndef COMETSPINDLE_GATEWAY_EVENT_STREAM_H
 #define COMETSPINDLE_GATEWAY_EVENT_STREAM_H
@@ -19,31 +20,34 @@
 struct comet_event_stream *
 comet_event_stream_create(void *parent);
 
-/** Adds bytes. @return the length of what lies ready: whole events, or parts of a large one. */
+/** Appends bytes. @return the number of bytes that can be passed on: whole events, or parts of a
+ * large one. */
 size_t
 comet_event_stream_add(struct comet_event_stream *stream, const char *data, size_t length);
 
-/** What lies ready. */
+/** @return the bytes that can be passed on. */
 const char *
 comet_event_stream_ready(const struct comet_event_stream *stream);
 
-/** Removes it; takes over the last id. */
+/** Removes the bytes that can be passed on, and records the last event id in them. */
 void
 comet_event_stream_consume(struct comet_event_stream *stream);
 
-/** Forgets an unfinished event; what comes next is from another run. @return its bytes. */
+/** Discards an unfinished event; the next bytes come from another endpoint or attempt. @return the
+ * number of bytes discarded. */
 size_t
 comet_event_stream_restart(struct comet_event_stream *stream);
 
-/** @return bytes of an unfinished event that lie here. */
+/** @return the number of buffered bytes of an unfinished event. */
 size_t
 comet_event_stream_unfinished(const struct comet_event_stream *stream);
 
-/** Id after which another endpoint may go on; NULL when there is none. */
+/** @return the event id after which another endpoint can resume, or NULL if the stream cannot be
+ * resumed. */
 const char *
 comet_event_stream_last_id(const struct comet_event_stream *stream);
 
-/** Events taken so far. */
+/** @return the number of whole events so far. */
 uint32_t
 comet_event_stream_count(const struct comet_event_stream *stream);
 
--- a/libcometspindle/gateway/header_names.c
+++ b/libcometspindle/gateway/header_names.c
@@ -1,6 +1,6 @@
 /*
  * header_names.c
- * the values of headers that callers and endpoints use
+ * parsers for the values of headers that callers and endpoints use
  */
 #include <libcometspindle/gateway/header_names.h>
 
@@ -10,11 +10,11 @@
 #include <string.h>
 #include <strings.h>
 
-/* No endpoint has more requests; sums of a few such numbers stay in range. */
+/* No endpoint has more requests, and sums of several such numbers stay in range. */
 #define LOAD_MAX 1000000
 
-/* Longest time that is told in seconds. */
-#define SECONDS_MAX 3600.0
+/* Longest accepted duration in seconds. */
+#define DURATION_MAX_S 3600.0
 
 bool
 comet_header_is_reserved(const struct comet_header_names *names, const char *header)
@@ -27,7 +27,7 @@
 	return false;
 }
 
-/* Parses numbers separated by commas. @return false unless there are just so many. */
+/* Parses numbers separated by commas. @return false unless there are exactly `count` numbers. */
 static bool
 parse_numbers(const char *text, uint32_t *numbers, size_t count)
 {
@@ -37,8 +37,8 @@
 		if (*text < '0' || *text > '9')
 			return false;
 		unsigned long long value = strtoull(text, &end, 10);
-		char after = i + 1 < count ? ',' : '\0';
-		if (value > UINT32_MAX || *end != after)
+		char expected_end = i + 1 < count ? ',' : '\0';
+		if (value > UINT32_MAX || *end != expected_end)
 			return false;
 		numbers[i] = (uint32_t)value;
 		text = end + 1;
@@ -83,33 +83,34 @@
 	if (!g_ascii_isdigit(*text))
 		return false;
 	double seconds = g_ascii_strtod(text, &end);
-	if (*end != '\0' || !(seconds >= 0 && seconds <= SECONDS_MAX))
+	if (*end != '\0' || !(seconds >= 0 && seconds <= DURATION_MAX_S))
 		return false;
 	*ms = (uint32_t)(seconds * 1000);
 	return true;
 }
 
-/* Parses "NAME=NUMBER", blanks around either. @return false if it is another name, or no number */
+/* Parses "NAME=NUMBER" with optional blanks around both. @return false if the name differs or the
+ * number is invalid. */
 static bool
 parse_parameter(char *text, const char *name, uint32_t *number)
 {
-	char *mark = strchr(text, '=');
+	char *separator = strchr(text, '=');
 
-	if (mark == NULL)
+	if (separator == NULL)
 		return false;
-	*mark = '\0';
+	*separator = '\0';
 	return strcasecmp(g_strstrip(text), name) == 0 &&
-	       parse_numbers(g_strstrip(mark + 1), number, 1);
+	       parse_numbers(g_strstrip(separator + 1), number, 1);
 }
 
 bool
 comet_header_parse_keep_alive(const char *text, uint32_t *seconds)
 {
 	char **parameters = g_strsplit(text, ",", -1);
-	bool told = false;
+	bool found = false;
 
-	for (char **parameter = parameters; *parameter != NULL && !told; parameter++)
-		told = parse_parameter(*parameter, "timeout", seconds);
+	for (char **parameter = parameters; *parameter != NULL && !found; parameter++)
+		found = parse_parameter(*parameter, "timeout", seconds);
 	g_strfreev(parameters);
-	return told;
+	return found;
 }
--- a/libcometspindle/gateway/header_names.h
+++ b/libcometspindle/gateway/header_names.h
@@ -1,6 +1,6 @@
 /*
  * header_names.h
- * port: the header names that callers and endpoints use for what we mean
+ * port: the header names that callers and endpoints use
  */
 #ifndef COMETSPINDLE_GATEWAY_HEADER_NAMES_H
 #define COMETSPINDLE_GATEWAY_HEADER_NAMES_H
@@ -8,27 +8,29 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Names of headers; none is NULL. */
+/** Header names; none of them is NULL. */
 struct comet_header_names
 {
-	const char *request_id;      /**< the caller's id of one attempt, repeated by the answer */
-	const char *deadline_ms;     /**< how long whoever asks will wait */
-	const char *team;            /**< set by us: whose key it was */
-	const char *expect_instance; /**< set by us: any other process refuses */
-	const char *stamp;           /**< on answers that an endpoint gave itself */
-	const char *not_run;         /**< on an endpoint's refusals that ran nothing */
-	const char *load;            /**< on answers: running, waiting, slots */
-	const char *tokens;          /**< prompt tokens and most output tokens */
-	const char *output_hint;     /**< expected output tokens */
-	const char *last_event;      /**< id of the last event a reader has */
+	const char *request_id;  /**< the caller's id of an attempt, which the response repeats */
+	const char *deadline_ms; /**< how long the sender of the request waits */
+	const char *team;        /**< set by the gateway: the team of the caller's key */
+	const char *expect_instance; /**< set by the gateway: any other process must refuse the
+					request */
+	const char *stamp;           /**< on responses that the endpoint itself produced */
+	const char *not_run;         /**< on refusals by an endpoint that did not run the request */
+	const char *load;        /**< on responses: running requests, waiting requests and slots */
+	const char *tokens;      /**< number of prompt tokens and maximum number of output tokens */
+	const char *output_hint; /**< expected number of output tokens */
+	const char *last_event;  /**< id of the last event that the client received */
 	const char *authorization;
-	const char *key_scheme; /**< word before the key in authorization */
-	/** Ends in NULL: headers of requests that are ours to set towards endpoints, used or not.
-	 * What callers send under these names never goes on. */
+	const char *key_scheme; /**< scheme before the key in authorization */
+	/** NULL-terminated list of request headers that only the gateway sets towards endpoints,
+	 * whether it uses them or not. Values that callers send under these names are never
+	 * forwarded. */
 	const char *const *reserved;
 };
 
-/** What a load header tells. */
+/** Values of a load header. */
 struct comet_header_load
 {
 	uint32_t running;
@@ -36,27 +38,31 @@
 	uint32_t slots;
 };
 
-/** @return whether a header is ours to set, and not passed on as a caller sent it. */
+/** @return whether only the gateway sets a header, so that the value of a caller is not forwarded.
+ */
 bool
 comet_header_is_reserved(const struct comet_header_names *names, const char *header);
 
-/** Parses "prompt,output"; false when it is not two whole numbers. */
+/** Parses "prompt,output". @return false unless the text is two whole numbers. */
 bool
 comet_header_parse_tokens(const char *text, uint32_t *prompt, uint32_t *output);
 
-/** Parses "running,waiting,slots"; false when it is not three whole numbers of a plausible size. */
+/** Parses "running,waiting,slots". @return false unless the text is three whole numbers in range.
+ */
 bool
 comet_header_parse_load(const char *text, struct comet_header_load *load);
 
-/** Parses a whole number of milliseconds; false when it is not one. */
+/** Parses a whole number of milliseconds. @return false if the text is not one. */
 bool
 comet_header_parse_ms(const char *text, uint32_t *ms);
 
-/** Parses seconds, whole or with a fraction, at most an hour; false when it is none. */
+/** Parses seconds, with an optional fraction, of at most an hour. @return false if the text is not
+ * such a number. */
 bool
 comet_header_parse_seconds(const char *text, uint32_t *ms);
 
-/** Parses the "timeout" of a Keep-Alive header. @return false if it tells none in whole seconds */
+/** Parses the "timeout" of a Keep-Alive header. @return false unless it is given in whole seconds.
+ */
 bool
 comet_header_parse_keep_alive(const char *text, uint32_t *seconds);
 
--- a/libcometspindle/gateway/settings.c
+++ b/libcometspindle/gateway/settings.c
@@ -1,6 +1,6 @@
 /*
  * settings.c
- * the settings of a gateway, from JSON with comments
+ * settings of a gateway, read from JSON with comments
  */
 #include <libcometspindle/gateway/settings.h>
 
@@ -12,37 +12,38 @@
 #define HOUR_S 3600.0
 #define HOUR_MS 3600000
 
-/* Five lines for each of 100 requests a second: about five times an entry VM's usual share. */
-#define LOG_LINES_DEFAULT 500
-#define LOG_LINES_MAX 1000000
+/* Five lines for each of 100 requests per second, which is about five times the usual load of an
+ * entry VM. */
+#define LOG_LINES_PER_S_DEFAULT 500
+#define LOG_LINES_PER_S_MAX 1000000
 
-/* More than any link of an entry VM carries in a second. */
-#define BYTES_MAX 1000000000
+/* More than any link of an entry VM carries per second. */
+#define BYTES_PER_S_MAX 1000000000
 
 /* No entry VM has more cores. */
 #define CORES_MAX 1024
 
-/* Defaults of the times below; the deploy file sets those that the platform tells. */
+/* Defaults of the durations below. The deployment file sets those that the platform defines. */
 #define GRACE_DEFAULT_S 8.0
 #define TEAM_WINDOW_DEFAULT_S 8.0
 #define RETRY_WINDOW_DEFAULT_S 10.0
 #define SETTLED_DEFAULT_MS 3000
 
 static char *
-read_text(struct comet_gateway_settings *settings, struct comet_json_validator_object *object,
-	const char *key, const char *fallback)
+read_string(struct comet_gateway_settings *settings, struct comet_json_validator_object *object,
+	const char *key, const char *default_value)
 {
-	return talloc_strdup(settings, comet_json_validator_string(object, key, fallback));
+	return talloc_strdup(settings, comet_json_validator_string(object, key, default_value));
 }
 
 static uint32_t
-read_seconds(struct comet_json_validator_object *object, const char *key, double fallback_s)
+read_seconds(struct comet_json_validator_object *object, const char *key, double default_s)
 {
-	return (uint32_t)(comet_json_validator_number(object, key, 0.1, HOUR_S, fallback_s) * 1000);
+	return (uint32_t)(comet_json_validator_number(object, key, 0.1, HOUR_S, default_s) * 1000);
 }
 
 static void
-read_times(struct comet_gateway_settings *settings, struct comet_json_validator_object *object)
+read_durations(struct comet_gateway_settings *settings, struct comet_json_validator_object *object)
 {
 	settings->grace_ms = read_seconds(object, "grace_s", GRACE_DEFAULT_S);
 	settings->leave_ms =
@@ -56,12 +57,12 @@
 static void
 read_limits(struct comet_gateway_settings *settings, struct comet_json_validator_object *object)
 {
-	struct comet_rate_limiter_config *teams = &settings->rate_limiter;
+	struct comet_rate_limiter_config *rate_limiter = &settings->rate_limiter;
 	struct comet_retry_budget_config *retries = &settings->retries;
 
-	teams->window_ms = read_seconds(object, "team_window_s", TEAM_WINDOW_DEFAULT_S);
-	teams->overage = comet_json_validator_number(object, "team_overage", 0, 100, 0.1);
-	teams->slack = comet_json_validator_number(object, "team_slack", 0, 1e12, 0);
+	rate_limiter->window_ms = read_seconds(object, "team_window_s", TEAM_WINDOW_DEFAULT_S);
+	rate_limiter->overage = comet_json_validator_number(object, "team_overage", 0, 100, 0.1);
+	rate_limiter->slack = comet_json_validator_number(object, "team_slack", 0, 1e12, 0);
 	retries->window_ms = read_seconds(object, "retry_window_s", RETRY_WINDOW_DEFAULT_S);
 	retries->ratio = comet_json_validator_number(object, "retry_ratio", 0, 100, 0.1);
 	retries->slack = (uint32_t)comet_json_validator_number(object, "retry_slack", 0, 1e9, 20);
@@ -70,34 +71,34 @@
 }
 
 static void
-read_gateway(struct comet_gateway_settings *settings, struct comet_json_validator *check,
+read_gateway(struct comet_gateway_settings *settings, struct comet_json_validator *validator,
 	struct json_object *root)
 {
 	struct comet_json_validator_object *object =
-		comet_json_validator_object_begin(check, root, "gateway");
-
-	settings->name = read_text(settings, object, "name", NULL);
-	settings->zone = read_text(settings, object, "zone", NULL);
-	settings->callers = read_text(settings, object, "callers", NULL);
-	settings->readiness = read_text(settings, object, "readiness", NULL);
-	settings->control = read_text(settings, object, "control", NULL);
-	settings->peers = read_text(settings, object, "peers", NULL);
-	settings->seeds = read_text(settings, object, "seeds", "");
-	settings->directory = read_text(settings, object, "directory", NULL);
+		comet_json_validator_object_begin(validator, root, "gateway");
+
+	settings->name = read_string(settings, object, "name", NULL);
+	settings->zone = read_string(settings, object, "zone", NULL);
+	settings->callers = read_string(settings, object, "callers", NULL);
+	settings->readiness = read_string(settings, object, "readiness", NULL);
+	settings->control = read_string(settings, object, "control", NULL);
+	settings->peers = read_string(settings, object, "peers", NULL);
+	settings->seeds = read_string(settings, object, "seeds", "");
+	settings->directory = read_string(settings, object, "directory", NULL);
 	settings->near_bytes_per_s = (uint32_t)comet_json_validator_int(
-		object, "near_bytes_per_s", 256, BYTES_MAX, 16384);
-	settings->far_bytes_per_s =
-		(uint32_t)comet_json_validator_int(object, "far_bytes_per_s", 256, BYTES_MAX, 8192);
+		object, "near_bytes_per_s", 256, BYTES_PER_S_MAX, 16384);
+	settings->far_bytes_per_s = (uint32_t)comet_json_validator_int(
+		object, "far_bytes_per_s", 256, BYTES_PER_S_MAX, 8192);
 	settings->cpu_percent =
 		(uint32_t)(comet_json_validator_number(object, "cpu_share", 0, CORES_MAX, 1) * 100);
 	settings->ask_keepers = comet_json_validator_bool(object, "ask_keepers", true);
-	read_times(settings, object);
+	read_durations(settings, object);
 	settings->log_lines_per_s = (uint32_t)comet_json_validator_int(
-		object, "log_lines_per_s", 0, LOG_LINES_MAX, LOG_LINES_DEFAULT);
+		object, "log_lines_per_s", 0, LOG_LINES_PER_S_MAX, LOG_LINES_PER_S_DEFAULT);
 	settings->log_level =
 		comet_log_level_parse(comet_json_validator_string(object, "log_level", "info"));
 	if (settings->log_level < 0)
-		comet_json_validator_fault(check, "gateway.log_level",
+		comet_json_validator_fault(validator, "gateway.log_level",
 			"must be one of err, warning, notice, info, debug");
 	read_limits(settings, object);
 	comet_json_validator_object_end(object);
@@ -121,14 +122,14 @@
 	if (root == NULL)
 		return NULL;
 	struct comet_gateway_settings *settings = talloc_zero(NULL, struct comet_gateway_settings);
-	struct comet_json_validator *check = comet_json_validator_create();
+	struct comet_json_validator *validator = comet_json_validator_create();
 	struct comet_json_validator_object *object =
-		comet_json_validator_object_begin(check, root, "");
-	read_gateway(settings, check, comet_json_validator_member(object, "gateway", true));
+		comet_json_validator_object_begin(validator, root, "");
+	read_gateway(settings, validator, comet_json_validator_member(object, "gateway", true));
 	comet_json_validator_object_end(object);
-	if (!comet_json_validator_finish(check, error))
+	if (!comet_json_validator_finish(validator, error))
 		TALLOC_FREE(settings);
-	comet_json_validator_destroy(check);
+	comet_json_validator_destroy(validator);
 	json_object_put(root);
 	return settings;
 }
--- a/libcometspindle/gateway/settings.h
+++ b/libcometspindle/gateway/settings.h
@@ -1,6 +1,6 @@
 /*
  * settings.h
- * the settings of a gateway, from JSON with comments
+ * settings of a gateway, read from JSON with comments
  */
 #ifndef COMETSPINDLE_GATEWAY_SETTINGS_H
 #define COMETSPINDLE_GATEWAY_SETTINGS_H
@@ -13,36 +13,40 @@
 
 struct comet_gateway_settings
 {
-	char *name;          /**< this VM's name, for logs */
-	char *zone;          /**< its availability zone */
-	char *callers;       /**< IP:PORT that callers connect to */
-	char *readiness;     /**< IP:PORT that answers whether this VM takes requests */
-	char *control;       /**< IP:PORT for other VMs and for metrics */
-	char *peers;         /**< IP:PORT for views, by UDP; the port is the same on all VMs */
-	char *seeds;         /**< IP:PORT of some VMs' control, separated by commas */
-	char *directory;     /**< IP:PORT of the platform's store */
-	uint32_t grace_ms;   /**< a stop may take so long before the process is killed */
-	uint32_t leave_ms;   /**< a stopping VM still takes requests for this time */
-	uint32_t lapse_ms;   /**< endpoints unlisted in an outage are used on for so long */
-	uint32_t settled_ms; /**< so long after an outage the directory's word is whole again */
-	uint32_t near_bytes_per_s; /**< most that is sent to VMs of the own zone */
-	uint32_t far_bytes_per_s;  /**< most that is sent to VMs of other zones */
-	uint32_t cpu_percent;      /**< of a core that this VM may use */
-	bool ask_keepers; /**< slots are asked for at the VM that counts; else views have to do */
+	char *name;        /**< name of this VM in logs */
+	char *zone;        /**< its availability zone */
+	char *callers;     /**< IP:PORT for connections of callers */
+	char *readiness;   /**< IP:PORT that reports whether this VM accepts requests */
+	char *control;     /**< IP:PORT for other VMs and for metrics */
+	char *peers;       /**< IP:PORT for gossip by UDP; the port is the same on all VMs */
+	char *seeds;       /**< control IP:PORT of some VMs, separated by commas */
+	char *directory;   /**< IP:PORT of the platform's store */
+	uint32_t grace_ms; /**< maximum time of a stop before the process is killed */
+	uint32_t leave_ms; /**< time for which a stopping VM still accepts requests */
+	uint32_t lapse_ms; /**< time for which endpoints that disappeared from the list in an outage
+			      remain in use */
+	uint32_t settled_ms; /**< time after an outage until the directory is complete again */
+	uint32_t near_bytes_per_s; /**< byte budget of gossip to VMs of the same zone */
+	uint32_t far_bytes_per_s;  /**< byte budget of gossip to VMs of other zones */
+	uint32_t cpu_percent;      /**< CPU allowance of this VM, in percent of a core */
+	bool ask_keepers; /**< request slots from the owner of a shard; otherwise only gossip is
+			     used */
 	struct comet_rate_limiter_config rate_limiter;
 	struct comet_retry_budget_config retries;
-	double cold_overage; /**< times what a cold endpoint bears that it may receive, of all VMs
-			      * together; 0: not bounded */
-	double cold_slack;   /**< and so many requests a second more */
-	uint32_t log_lines_per_s; /**< most lines written; 0: no bound */
+	double cold_overage;      /**< bound on the rate that a cold endpoint receives from all VMs
+				     together, as a multiple of the rate that it can handle; 0: no bound
+				   */
+	double cold_slack;        /**< requests per second allowed in addition to cold_overage */
+	uint32_t log_lines_per_s; /**< maximum log lines per second; 0: no bound */
 	int log_level;            /**< enum comet_log_level */
 };
 
-/** @return whether the settings in this text are a gateway's. */
+/** @return whether the text contains the settings of a gateway. */
 bool
 comet_gateway_settings_match(const char *text, size_t length);
 
-/** Parses and checks; NULL and error with every fault. Free with talloc_free. */
+/** Parses and validates the settings. @return NULL with an error that lists every fault; otherwise
+ * free with talloc_free(). */
 struct comet_gateway_settings *
 comet_gateway_settings_parse(
 	const char *text, size_t length, GError **error) G_GNUC_WARN_UNUSED_RESULT;
