--- a/tests/system/test_readers.py
+++ b/tests/system/test_readers.py
@@ -1,6 +1,7 @@
-"""test_readers.py: a zone of real gateways in which two read the store for all
+"""test_readers.py: tests of the reader election with real gateways in one availability zone
 
-The stand-in counts who waits at it. Readers are killed and stopped; what changes meanwhile must be known to all.
+The stand-in store counts the gateways that watch it. Readers are killed and frozen, and changes made meanwhile
+must reach all gateways.
 """
 import os
 import re
@@ -11,11 +12,11 @@
 
 VMS = 10
 READERS = 2
-READS, READS_FOR_OTHERS, FOLLOWS, READS_MEANWHILE = range(4)
+DIRECT, READS_FOR_OTHERS, FOLLOWER, FALLBACK = range(4)  # values of comet_directory_reading
 
 
 def metric(gateway, name):
-    """What a gateway's metrics tell; None when it does not answer just now."""
+    """Returns the value of a metric of a gateway, or None if the gateway does not answer."""
     try:
         text = get(gateway.ports["control"], "/metrics", gateway.address)[2]
     except OSError:
@@ -25,7 +26,7 @@
 
 
 class Zone:
-    """Gateways of one zone, each on an address of its own."""
+    """Gateways of one availability zone, each with its own address."""
 
     def __init__(self):
         self.store = Store()
@@ -37,44 +38,45 @@
                     for n in range(VMS)]
         for vm in self.vms:
             wait_for(vm.ready)
-        wait_for(lambda: self.settled(), 30)
+        wait_for(lambda: self.is_settled(), 30)
 
-    def doing(self, what, but=()):
+    def doing(self, mode, excluded=()):
         return [vm for vm in self.vms
-                if vm.process.poll() is None and vm not in but and metric(vm, "directory_reading") == what]
+                if vm.process.poll() is None and vm not in excluded
+                and metric(vm, "directory_reading") == mode]
 
-    def settled(self):
-        """Two read, the others follow them, and no other waits at the store any more."""
-        living = [vm for vm in self.vms if vm.process.poll() is None]
-        return (len(self.doing(READS_FOR_OTHERS)) == READERS and len(self.doing(FOLLOWS)) == len(living) - READERS
+    def is_settled(self):
+        """Returns whether two gateways read, the others follow, and no other gateway still watches the store."""
+        running = [vm for vm in self.vms if vm.process.poll() is None]
+        return (len(self.doing(READS_FOR_OTHERS)) == READERS and len(self.doing(FOLLOWER)) == len(running) - READERS
                 and self.store.waiting <= READERS)
 
-    def knows(self, vm):
+    def is_current(self, vm):
         revision = metric(vm, "directory_revision")
         return revision is not None and revision >= self.store.revision
 
-    def all_know(self, but=()):
-        return all(self.knows(vm) for vm in self.vms if vm.process.poll() is None and vm not in but)
+    def all_current(self, excluded=()):
+        return all(self.is_current(vm) for vm in self.vms if vm.process.poll() is None and vm not in excluded)
 
     def end(self):
-        living = [vm for vm in self.vms if vm.process.poll() is None]
-        for vm in living:
+        running = [vm for vm in self.vms if vm.process.poll() is None]
+        for vm in running:
             vm.stop()
-        for vm in living:
+        for vm in running:
             vm.end(stopping=True)
 
 
-def test_two_read_and_all_know(zone):
+def test_two_readers_update_all(zone):
     for number in range(5):
-        self_reading = len(zone.doing(READS)) + len(zone.doing(READS_MEANWHILE))
+        not_elected = len(zone.doing(DIRECT)) + len(zone.doing(FALLBACK))
         zone.store.put("op/config", document(number + 2))
-        wait_for(zone.all_know)
-        assert self_reading == 0, self_reading
+        wait_for(zone.all_current)
+        assert not_elected == 0, not_elected
     zone.store.remove("servers/i-0")
-    wait_for(zone.all_know)
+    wait_for(zone.all_current)
     for vm in zone.vms:
         wait_for(lambda vm=vm: b"endpoint_gone endpoint=i-0" in vm.log_text())
-    wait_for(zone.settled, 30)
+    wait_for(zone.is_settled, 30)
 
 
 def test_readers_are_killed(zone):
@@ -83,32 +85,32 @@
         vm.process.wait()
     zone.store.put("op/config", document(7))
     zone.store.remove("servers/i-1")
-    wait_for(zone.all_know)
-    wait_for(zone.settled, 30)  # others have taken their place
+    wait_for(zone.all_current)
+    wait_for(zone.is_settled, 30)  # other gateways have become readers
 
 
-def test_readers_are_stopped(zone):
+def test_readers_are_frozen(zone):
     readers = zone.doing(READS_FOR_OTHERS)
     for vm in readers:
         os.kill(vm.process.pid, signal.SIGSTOP)
     zone.store.put("op/config", document(7))
     zone.store.remove("servers/i-1")
-    wait_for(lambda: zone.all_know(but=readers))
+    wait_for(lambda: zone.all_current(excluded=readers))
     for vm in readers:
         os.kill(vm.process.pid, signal.SIGCONT)
-    wait_for(zone.all_know)
+    wait_for(zone.all_current)
 
 
-def test_the_store_is_out_and_comes_back(zone):
+def test_store_outage_and_recovery(zone):
     zone.store.down = True
-    wait_for(lambda: len(zone.doing(FOLLOWS)) == 0, 30)
+    wait_for(lambda: len(zone.doing(FOLLOWER)) == 0, 30)
     zone.store.put("op/config", document(9))
     zone.store.down = False
-    wait_for(zone.all_know, 30)
-    wait_for(zone.settled, 60)
+    wait_for(zone.all_current, 30)
+    wait_for(zone.is_settled, 60)
 
 
-def in_a_zone(test):
+def with_zone(test):
     def run():
         zone = Zone()
         test(zone)
@@ -118,5 +120,5 @@
 
 
 if __name__ == "__main__":
-    run_tests([], [in_a_zone(test) for test in (test_two_read_and_all_know, test_readers_are_killed,
-                                                test_readers_are_stopped, test_the_store_is_out_and_comes_back)])
+    run_tests([], [with_zone(test) for test in (test_two_readers_update_all, test_readers_are_killed,
+                                                test_readers_are_frozen, test_store_outage_and_recovery)])
--- a/tests/unit/test_event_stream.cc
+++ b/tests/unit/test_event_stream.cc
@@ -1,6 +1,6 @@
 /*
  * test_event_stream.cc
- * how a stream of events is cut into whole ones
+ * tests of splitting a stream of server-sent events into whole events
  */
 #include <gtest/gtest.h>
 
@@ -21,7 +21,7 @@
 	comet_event_stream *stream = comet_event_stream_create(nullptr);
 	const char *text = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\nda";
 
-	/* byte by byte: the ends of events must not depend on how they arrive */
+	/* byte by byte, because event boundaries must not depend on how the bytes arrive */
 	std::string passed;
 	for (const char *at = text; *at != '\0'; at++)
 	{
@@ -40,9 +40,10 @@
 	talloc_free(stream);
 }
 
-/* What of a stream is passed on, fed in parts of step bytes. */
+/* Feeds a text in parts of `step` bytes. @return what is passed on. held: maximum number of bytes
+ * buffered. */
 std::string
-pass(comet_event_stream *stream, const std::string &text, size_t step, size_t *held)
+feed(comet_event_stream *stream, const std::string &text, size_t step, size_t *held)
 {
 	std::string passed;
 
@@ -58,9 +59,9 @@
 	return passed;
 }
 
-/* An endpoint sent an event that never ended, and all of it was held: an event is passed on in
- * parts once it is larger than any proper one. A stream cannot be taken up within an event. */
-TEST(EventStream, AnEventBeyondAnyProperSizeIsNotHeld)
+/* An endpoint sent an event that never ended, and all of it was buffered. An event above the size
+ * limit must be passed on in parts, and the stream cannot be resumed within it. */
+TEST(EventStream, AnOversizedEventIsNotBuffered)
 {
 	std::string large = "id: 2\ndata: " + std::string(5 << 20, 'x') + "\r\n\r\n";
 
@@ -68,15 +69,15 @@
 	{
 		comet_event_stream *stream = comet_event_stream_create(nullptr);
 		size_t held = 0;
-		size_t most = step < 100000 ? (1U << 20) + step : 1U << 20;
-		EXPECT_EQ(pass(stream, "id: 1\n\n", 3, &held), "id: 1\n\n");
-		std::string passed = pass(stream, large.substr(0, large.size() - 1), step, &held);
+		size_t held_max = step < 100000 ? (1U << 20) + step : 1U << 20;
+		EXPECT_EQ(feed(stream, "id: 1\n\n", 3, &held), "id: 1\n\n");
+		std::string passed = feed(stream, large.substr(0, large.size() - 1), step, &held);
 		EXPECT_GT(passed.size(), large.size() - 10);
-		EXPECT_LE(held, most);
+		EXPECT_LE(held, held_max);
 		EXPECT_GT(comet_event_stream_unfinished(stream), 0U);
 		EXPECT_EQ(comet_event_stream_last_id(stream), nullptr);
 		EXPECT_EQ(comet_event_stream_count(stream), 1U);
-		passed += pass(stream, "\nid: 3\n\n", 1, &held);
+		passed += feed(stream, "\nid: 3\n\n", 1, &held);
 		EXPECT_EQ(passed, large + "id: 3\n\n");
 		EXPECT_EQ(comet_event_stream_unfinished(stream), 0U);
 		EXPECT_STREQ(comet_event_stream_last_id(stream), "3");
@@ -85,8 +86,9 @@
 	}
 }
 
-/* Where a stream is taken up again its last id goes into a header of the next endpoint. */
-TEST(EventStream, AnIdThatIsNoHeadersValueIsNone)
+/* When a stream is resumed, its last event id is sent in a header to the next endpoint, so an id
+ * that is not a valid header value must be ignored. */
+TEST(EventStream, AnIdThatIsNotAHeaderValueIsIgnored)
 {
 	for (const std::string &id :
 		{std::string("a\rX-Cometspindle-Tenant: b"), std::string("a\0b", 3),
@@ -94,9 +96,9 @@
 	{
 		comet_event_stream *stream = comet_event_stream_create(nullptr);
 		size_t held = 0;
-		pass(stream, "id: 1\n\nid: " + id + "\n\n", 4096, &held);
+		feed(stream, "id: 1\n\nid: " + id + "\n\n", 4096, &held);
 		EXPECT_EQ(comet_event_stream_last_id(stream), nullptr) << id;
-		pass(stream, "id: \xc3\xbc 2\n\n", 4096, &held);
+		feed(stream, "id: \xc3\xbc 2\n\n", 4096, &held);
 		EXPECT_STREQ(comet_event_stream_last_id(stream), "\xc3\xbc 2");
 		talloc_free(stream);
 	}
--- a/tests/unit/test_gateway_views.cc
+++ b/tests/unit/test_gateway_views.cc
@@ -1,6 +1,6 @@
 /*
  * test_gateway_views.cc
- * what VMs tell each other, and how they find each other, under virtual time
+ * tests of gossip between VMs and of peer discovery, in virtual time
  */
 #include "team_table.h"
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
 namespace
 {
 
-/* Some VMs whose datagrams are delivered by hand. */
+/* A VM whose datagrams the test delivers. */
 struct vm
 {
 	comet_instances *instances;
@@ -33,7 +33,7 @@
 	comet_route_table *table;
 	uint32_t zones;
 	uint32_t bytes_per_s;
-	uint32_t between_zones = 0; /* datagrams */
+	uint32_t between_zones = 0; /* datagrams sent between zones */
 
 	explicit vms(int count, uint32_t n_zones = 1, uint32_t budget = 1000000)
 	    : zones(n_zones), bytes_per_s(budget)
@@ -61,11 +61,12 @@
 	{
 		static const comet_gossip_ops ops = {on_send, on_changed};
 		static const uint32_t seeds[] = {1};
-		comet_rate_limiter_config bounds = {8000, 0, 0};
+		comet_rate_limiter_config limiter_config = {8000, 0, 0};
 		vm &one = all[address];
 		std::string zone = zone_of(address);
 		one.instances = comet_instances_create(nullptr, zone.c_str());
-		one.rate_limiter = comet_rate_limiter_create(one.instances, &bounds, now_us);
+		one.rate_limiter =
+			comet_rate_limiter_create(one.instances, &limiter_config, now_us);
 		comet_rate_limiter_set_teams(one.rate_limiter, table, now_us);
 		comet_instance_record record = {"i", "llm", "127.0.0.1:1", "z", 4, 0, false, 0};
 		comet_instances_put(one.instances, &record, now_us);
@@ -87,9 +88,10 @@
 	{
 	}
 
-	/* One step: everybody ticks, then what was sent arrives, but for those cut off. */
+	/* Ticks all VMs and then delivers their datagrams, except those from or to the VM
+	 * `partitioned`. */
 	void
-	step(uint64_t now_us, uint32_t cut = 0)
+	step(uint64_t now_us, uint32_t partitioned = 0)
 	{
 		for (auto &one : all)
 			comet_gossip_tick(one.second.gossip, now_us);
@@ -97,25 +99,25 @@
 		{
 			for (size_t i = 0; i < one.second.outbox.size(); i++)
 			{
-				auto mail = one.second.outbox[i];
-				if (zone_of(one.first) != zone_of(mail.first))
+				auto sent = one.second.outbox[i];
+				if (zone_of(one.first) != zone_of(sent.first))
 					between_zones++;
-				if (one.first == cut || mail.first == cut ||
-					all.count(mail.first) == 0)
+				if (one.first == partitioned || sent.first == partitioned ||
+					all.count(sent.first) == 0)
 					continue;
 				comet_Datagram datagram;
 				ASSERT_TRUE(
-					comet_datagram_decode((const uint8_t *)mail.second.data(),
-						mail.second.size(), &datagram));
+					comet_datagram_decode((const uint8_t *)sent.second.data(),
+						sent.second.size(), &datagram));
 				EXPECT_TRUE(comet_gossip_receive(
-					all[mail.first].gossip, &datagram.body.view, now_us));
+					all[sent.first].gossip, &datagram.body.view, now_us));
 			}
 			one.second.outbox.clear();
 		}
 	}
 };
 
-TEST(Views, VmsFindEachOtherFromOneSeed)
+TEST(Gossip, VmsFindEachOtherFromOneSeed)
 {
 	vms fleet(9);
 	uint64_t now_us = 1000000;
@@ -132,9 +134,9 @@
 	}
 }
 
-/* A view of a VM that nobody else knows, which names others and teams. */
+/* A view of a VM that no other VM knows, which lists peers and teams. */
 comet_View
-view_of(uint32_t address, uint64_t number)
+make_view(uint32_t address, uint64_t number)
 {
 	comet_View view = {};
 	view.incarnation = address;
@@ -149,9 +151,9 @@
 	return view;
 }
 
-/* Whoever reaches the port of views could name as many VMs and teams as they liked, and all were
- * remembered. The VMs that are there stay known. */
-TEST(Views, WhatViewsNameIsBounded)
+/* Anyone who could reach the gossip port could name any number of VMs and teams, and all were
+ * stored. The entries must be bounded, and the real VMs must remain known. */
+TEST(Gossip, EntriesFromViewsAreBounded)
 {
 	vms fleet(3);
 	uint64_t now_us = 1000000;
@@ -163,7 +165,7 @@
 	comet_gossip *gossip = fleet.all[1].gossip;
 	for (uint32_t i = 1; i <= 20000; i++)
 	{
-		comet_View view = view_of(100000 + i, 1);
+		comet_View view = make_view(100000 + i, 1);
 		view.spent_count = 0;
 		EXPECT_TRUE(comet_gossip_receive(gossip, &view, now_us));
 	}
@@ -173,11 +175,11 @@
 	EXPECT_LE(comet_gossip_entry_count(gossip), 2048U);
 	for (uint32_t i = 2; i <= 2000; i++)
 	{
-		comet_View view = view_of(100001, i);
+		comet_View view = make_view(100001, i);
 		EXPECT_TRUE(comet_gossip_receive(gossip, &view, now_us));
 	}
 	EXPECT_LE(comet_gossip_entry_count(gossip), 2048U + 2048U);
-	/* those that were made up are forgotten, and others are heard again */
+	/* the invented VMs expire, and the others are seen again */
 	for (int i = 0; i < 500; i++, now_us += 50000)
 		fleet.step(now_us);
 	comet_gossip_count(gossip, &known, &heard);
@@ -186,8 +188,9 @@
 	EXPECT_LE(comet_gossip_entry_count(gossip), 100U);
 }
 
-/* Two VMs told of 4,294,967,295 requests at an endpoint, and the sum came out as less. */
-TEST(Views, HugeCountsDoNotComeOutAsSmallOnes)
+/* Two VMs each reported 4,294,967,295 requests at an endpoint, and the sum overflowed to a small
+ * number. */
+TEST(Gossip, LargeRemoteCountsDoNotOverflow)
 {
 	vms fleet(1);
 	uint64_t now_us = 1000000;
@@ -212,8 +215,9 @@
 	EXPECT_GE(comet_instance_load(seen, now_us), 1000000U);
 }
 
-/* What VMs tell of requests at a server's earlier life is not taken for its later one's. */
-TEST(Views, CountsEndWithTheLifeTheyAreOf)
+/* What VMs report about requests at an earlier incarnation of an endpoint must not count for the
+ * later one. */
+TEST(Gossip, RemoteLoadIsKeptPerIncarnation)
 {
 	vms fleet(2);
 	uint64_t now_us = 1000000;
@@ -227,29 +231,29 @@
 	comet_instance *seen = comet_instances_find(fleet.all[1].instances, "i");
 	comet_instance_started(comet_instances_find(fleet.all[2].instances, "i"), &job);
 	comet_gossip_slot_granted(fleet.all[1].gossip, 2, seen->key, 600, now_us);
-	uint32_t earlier = seen->key;
+	uint32_t earlier_key = seen->key;
 	fleet.step(now_us += 200000);
 	EXPECT_EQ(seen->others, 1U);
-	/* VM 1 learns that the server has started again, VM 2 not yet */
+	/* VM 1 learns that the endpoint has restarted, VM 2 does not yet */
 	record.process_start_ms = 2000;
 	seen = comet_instances_put(fleet.all[1].instances, &record, now_us);
 	fleet.step(now_us += 200000);
 	EXPECT_EQ(seen->others, 0U);
 	comet_gossip_slot_granted(fleet.all[1].gossip, 2, seen->key, 600, now_us);
 	EXPECT_EQ(comet_instance_owned_load(seen, now_us), 1U);
-	comet_gossip_slot_released(fleet.all[1].gossip, 2, earlier); /* of the earlier life */
+	comet_gossip_slot_released(fleet.all[1].gossip, 2, earlier_key);
 	EXPECT_EQ(comet_instance_owned_load(seen, now_us), 1U);
 	comet_gossip_slot_released(fleet.all[1].gossip, 2, seen->key);
 	EXPECT_EQ(comet_instance_owned_load(seen, now_us), 0U);
 }
 
-TEST(Views, DispatchesAndSpendingAreTold)
+TEST(Gossip, LoadAndSpendingAreReported)
 {
 	vms fleet(3);
 	uint64_t now_us = 1000000;
 	uint32_t team = comet_hash_name("t");
 	comet_request_size job = {500, 10, 10, true};
-	/* longer than a span, so that nothing is assumed of the time before */
+	/* longer than a window, so that no spending is assumed for the time before */
 	for (int i = 0; i < 400; i++, now_us += 50000)
 		fleet.step(now_us);
 	EXPECT_EQ(comet_rate_limiter_remaining(fleet.all[3].rate_limiter, team, now_us), 9000);
@@ -265,9 +269,9 @@
 	EXPECT_EQ(comet_rate_limiter_remaining(fleet.all[3].rate_limiter, team, now_us), 8900);
 }
 
-/* A team is told of when it has spent something, and else in turn: what an old VM spent long before
- * it first tells of a team is past. */
-TEST(Views, WhatWasSpentLongAgoIsNotTakenForNew)
+/* A view reports a team that has spent something recently, and the others in turn. What a
+ * long-running VM spent before the window must not be charged when it first reports a team. */
+TEST(Gossip, SpendingBeforeTheWindowIsNotCharged)
 {
 	vms fleet(1);
 	uint64_t now_us = 20000000;
@@ -293,12 +297,12 @@
 		before - 140);
 }
 
-/* Each view named every team that its VM had served since its start: of 900 bytes that 295 VMs sent
- * each other 700 told nothing new, and filled their links, so that answers waited behind them. */
-TEST(Views, AViewGrowsWithWhatIsSpentAndNotWithTeams)
+/* Each view listed every team that its VM had served since its start. Of 900 bytes that each of 295
+ * VMs sent, 700 held nothing new, and these views filled the links and delayed responses. */
+TEST(Gossip, ViewSizeDependsOnRecentSpendingOnly)
 {
 	comet_http_limits limits = {};
-	comet_route_table *many = comet_route_table_create(2, &limits);
+	comet_route_table *table = comet_route_table_create(2, &limits);
 	std::vector<std::string> names;
 	for (int i = 0; i < 570; i++)
 		names.push_back("team" + std::to_string(i));
@@ -308,37 +312,37 @@
 		entry.name = const_cast<char *>(name.c_str());
 		entry.rate_per_s = 1000000;
 		entry.in_tokens = true;
-		comet_route_table_add_team(many, &entry, nullptr, 0);
+		comet_route_table_add_team(table, &entry, nullptr, 0);
 	}
 	vms fleet(2);
 	uint64_t now_us = 20000000;
 	vm &one = fleet.all[1];
-	comet_rate_limiter_set_teams(one.rate_limiter, many, now_us);
+	comet_rate_limiter_set_teams(one.rate_limiter, table, now_us);
 	for (auto &name : names)
 		EXPECT_EQ(comet_rate_limiter_spend(one.rate_limiter, comet_hash_name(name.c_str()),
 				  0, 3000, COMET_RATE_LIMITER_GOSSIP, now_us),
 			0U);
 	for (int i = 0; i < 400; i++, now_us += 50000)
 		fleet.step(now_us);
-	size_t most = 0;
+	size_t max_bytes = 0;
 	for (int i = 0; i < 200; i++, now_us += 50000)
 	{
 		comet_gossip_tick(one.gossip, now_us);
-		for (auto &mail : one.outbox)
-			most = std::max(most, mail.second.size());
+		for (auto &sent : one.outbox)
+			max_bytes = std::max(max_bytes, sent.second.size());
 		one.outbox.clear();
 	}
-	EXPECT_GT(most, 0U);
-	EXPECT_LE(most, 300U);
-	comet_route_table_unref(many);
+	EXPECT_GT(max_bytes, 0U);
+	EXPECT_LE(max_bytes, 300U);
+	comet_route_table_unref(table);
 }
 
-/* Found by a day in which all VMs were killed twice: what each had spent before the others heard of
- * it was not counted by anybody. */
-TEST(Views, WhatWasSpentBeforeTheFirstWordIsCounted)
+/* After all VMs were killed, the amount that each VM spent before its first view arrived was
+ * charged nowhere. It must be charged when the view arrives. */
+TEST(Gossip, SpendingBeforeTheFirstViewIsCharged)
 {
 	vms fleet(3);
-	vms untouched(1);
+	vms unspent(1);
 	uint64_t now_us = 1000000;
 	uint32_t team = comet_hash_name("t");
 	EXPECT_EQ(comet_rate_limiter_spend(fleet.all[2].rate_limiter, team, 0, 100,
@@ -347,10 +351,10 @@
 	for (int i = 0; i < 20; i++, now_us += 50000)
 		fleet.step(now_us);
 	EXPECT_EQ(comet_rate_limiter_remaining(fleet.all[3].rate_limiter, team, now_us),
-		comet_rate_limiter_remaining(untouched.all[1].rate_limiter, team, now_us) - 100);
+		comet_rate_limiter_remaining(unspent.all[1].rate_limiter, team, now_us) - 100);
 }
 
-TEST(Views, ASilentVmIsNoticedAndItsDispatchesForgotten)
+TEST(Gossip, LoadOfAnUnreachableVmIsDropped)
 {
 	vms fleet(3);
 	uint64_t now_us = 1000000;
@@ -367,16 +371,16 @@
 	EXPECT_EQ(known, 2U);
 	EXPECT_EQ(heard, 1U);
 	EXPECT_EQ(comet_instances_find(fleet.all[3].instances, "i")->others, 0U);
-	/* it comes back by itself once the cut heals */
+	/* the VM is reachable again once the partition ends */
 	for (int i = 0; i < 60; i++, now_us += 50000)
 		fleet.step(now_us);
 	comet_gossip_count(fleet.all[3].gossip, &known, &heard);
 	EXPECT_EQ(heard, 2U);
 }
 
-/* Found by a hunt (QUOTA: all VMs stopped in turn while a team was hot): a stopping VM serves on
- * for seconds, but told nobody what it spent, and nobody told it. */
-TEST(Views, AStoppingVmIsPartOfTheSumsUntilItIsGone)
+/* A stopping VM serves requests for several seconds, but neither reported its spending nor received
+ * that of others, so a team could exceed its limit while all VMs were stopped in turn. */
+TEST(Gossip, AStoppingVmIsCountedUntilItIsUnreachable)
 {
 	vms fleet(3);
 	uint64_t now_us = 1000000;
@@ -401,7 +405,7 @@
 	comet_gossip_count(fleet.all[3].gossip, &known, &heard);
 	EXPECT_EQ(known, 2U);
 	EXPECT_EQ(heard, 2U);
-	/* its process ends: it is not a VM that was cut off and may still spend */
+	/* its process ends: it does not count as a partitioned VM that may still spend */
 	for (int i = 0; i < 30; i++, now_us += 50000)
 		fleet.step(now_us, 2);
 	comet_gossip_count(fleet.all[3].gossip, &known, &heard);
@@ -409,8 +413,9 @@
 	EXPECT_EQ(heard, 1U);
 }
 
-/* Found by a sweep of 300 VMs: views between zones took 0.68 of worth. */
-TEST(Views, ALargeZoneIsToldThroughAFewOfItsVms)
+/* Views sent directly to every VM of the other zones lowered the score of a run with 300 VMs by
+ * 0.68, because this traffic is charged. A large zone must receive them through forwarders. */
+TEST(Gossip, ALargeZoneReceivesViewsThroughForwarders)
 {
 	vms fleet(40, 2);
 	uint64_t now_us = 1000000;
@@ -433,9 +438,10 @@
 	for (auto &one : fleet.all)
 		EXPECT_EQ(
 			comet_rate_limiter_remaining(one.second.rate_limiter, team, now_us), 8900);
-	/* a second is ten rounds at most; each round of each VM goes to two of the other zone */
+	/* a second has at most ten rounds, and in each round a VM sends to two VMs of the other
+	 * zone */
 	EXPECT_LE(fleet.between_zones, 40U * 10 * 2);
-	/* with a VM of the other zone cut off, others pass views on */
+	/* if a VM of the other zone is partitioned, others forward the views */
 	EXPECT_EQ(comet_rate_limiter_spend(fleet.all[2].rate_limiter, team, 0, 100,
 			  COMET_RATE_LIMITER_GOSSIP, now_us),
 		0U);
@@ -444,29 +450,29 @@
 	EXPECT_EQ(comet_rate_limiter_remaining(fleet.all[5].rate_limiter, team, now_us), 8800);
 }
 
-/* Found by a sweep of 300 VMs: after a start of all, each asked the same one for a copy. */
-TEST(Views, VmsThatKnowMoreAreChosenInTurn)
+/* After a start of 300 VMs, all of them requested a snapshot from the same VM. */
+TEST(Gossip, NewerPeersArePickedEvenly)
 {
 	vms fleet(4);
 	uint64_t now_us = 1000000;
-	std::map<uint32_t, int> chosen;
+	std::map<uint32_t, int> picked;
 
 	for (uint32_t vm = 2; vm <= 4; vm++)
 		comet_gossip_set_revision(fleet.all[vm].gossip, vm);
 	for (int i = 0; i < 40; i++, now_us += 50000)
 		fleet.step(now_us);
 	for (uint32_t draw = 0; draw < 300; draw++)
-		chosen[comet_gossip_pick_newer_peer(fleet.all[1].gossip, 2, draw)]++;
-	EXPECT_EQ(chosen[3], 150);
-	EXPECT_EQ(chosen[4], 150);
+		picked[comet_gossip_pick_newer_peer(fleet.all[1].gossip, 2, draw)]++;
+	EXPECT_EQ(picked[3], 150);
+	EXPECT_EQ(picked[4], 150);
 	EXPECT_EQ(comet_gossip_pick_newer_peer(fleet.all[1].gossip, 4, 1), 0U);
 	EXPECT_EQ(comet_gossip_newest_revision(fleet.all[1].gossip), 4U);
 }
 
-/* Of 295 VMs that started together 35 heard nobody for a whole day, and nobody heard them but the
- * seeds: a seed tells large zones through others, which knew nothing of them, and named them to
- * nobody for minutes. Each took itself for the only VM, with all of each team's limit. */
-TEST(Views, EveryVmOfALargeFleetIsFound)
+/* Of 295 VMs that started together, 35 had no peers for a whole day, and only the seeds knew them.
+ * A seed sends to large zones through forwarders, which did not know these VMs, and listed them in
+ * no view for minutes. Each acted as the only VM and granted the whole limit of every team. */
+TEST(Gossip, AllVmsOfALargeFleetFindEachOther)
 {
 	constexpr uint32_t count = 150;
 	vms fleet(count, 5, 16384);
@@ -483,8 +489,8 @@
 	}
 }
 
-/* A copy of the directory is large, and bytes between zones cost. */
-TEST(Views, VmsThatKnowMoreAreChosenInTheOwnZoneFirst)
+/* A snapshot of the directory is large, and traffic between zones is charged. */
+TEST(Gossip, NewerPeersOfTheSameZoneArePreferred)
 {
 	vms fleet(6, 2);
 	uint64_t now_us = 1000000;
@@ -500,21 +506,21 @@
 	}
 }
 
-TEST(Views, GarbageIsRefused)
+TEST(Gossip, InvalidDatagramsAreRejected)
 {
 	vms fleet(1);
-	const uint8_t junk[] = {0xff, 0x01, 0x02, 0x80};
+	const uint8_t garbage[] = {0xff, 0x01, 0x02, 0x80};
 	comet_Datagram datagram;
-	comet_View nobody = {};
+	comet_View no_sender = {};
 
-	EXPECT_FALSE(comet_datagram_decode(junk, sizeof junk, &datagram));
-	EXPECT_FALSE(comet_datagram_decode(junk, 0, &datagram));
-	EXPECT_FALSE(comet_gossip_receive(fleet.all[1].gossip, &nobody, 1));
+	EXPECT_FALSE(comet_datagram_decode(garbage, sizeof garbage, &datagram));
+	EXPECT_FALSE(comet_datagram_decode(garbage, 0, &datagram));
+	EXPECT_FALSE(comet_gossip_receive(fleet.all[1].gossip, &no_sender, 1));
 }
 
-/* When all restart at once, the seed may be the last to come: until it was asked again, VMs did not
- * know of each other and guessed their sums. */
-TEST(Views, ASeedThatStartsLastIsFoundAtOnce)
+/* If all VMs restart together, the seed may start last. Until it was contacted again, the VMs did
+ * not know each other and estimated their totals. */
+TEST(Gossip, ASeedThatStartsLastIsFoundQuickly)
 {
 	vms fleet(0);
 	uint64_t now_us = 1000000;
--- a/tests/unit/test_readers.cc
+++ b/tests/unit/test_readers.cc
@@ -1,6 +1,6 @@
 /*
  * test_readers.cc
- * who reads the directory for a zone and who follows, in virtual time
+ * tests of the reader election of a zone, in virtual time
  */
 #include <gtest/gtest.h>
 
@@ -17,10 +17,10 @@
 
 constexpr uint64_t ms = 1000;
 
-struct ReadersTest : ::testing::Test
+struct ReaderElectionTest : ::testing::Test
 {
 	comet_reader_election *reader_election = nullptr;
-	comet_reader_election_state sight = {true, false, 60, 5, 100};
+	comet_reader_election_state state = {true, false, 60, 5, 100};
 	uint64_t now_us = 50000000;
 
 	void
@@ -36,7 +36,7 @@
 	}
 
 	void
-	tell(uint32_t vm, uint64_t position, uint64_t age_us = 0)
+	add_report(uint32_t vm, uint64_t position, uint64_t age_us = 0)
 	{
 		comet_reader_report report = {vm, position, position, age_us};
 		comet_reader_election_report(reader_election, &report, now_us);
@@ -45,44 +45,44 @@
 	comet_directory_mode
 	decide()
 	{
-		return comet_reader_election_decide(reader_election, &sight, now_us);
+		return comet_reader_election_decide(reader_election, &state, now_us);
 	}
 };
 
-TEST_F(ReadersTest, ASmallZoneReadsForItself)
+TEST_F(ReaderElectionTest, VmsOfASmallZoneReadDirectly)
 {
-	tell(1, 100);
-	sight.zone_vms = 7;
+	add_report(1, 100);
+	state.zone_vms = 7;
 	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_DIRECT);
-	sight.better = 0;
+	state.better = 0;
 	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_DIRECT);
-	sight.zone_vms = 8;
+	state.zone_vms = 8;
 	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_READER);
 }
 
-TEST_F(ReadersTest, OnlyTwoReadAndWhoStopsDoesNot)
+TEST_F(ReaderElectionTest, TwoVmsAreReadersUnlessTheyStop)
 {
-	sight.better = 1;
+	state.better = 1;
 	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_READER);
-	sight.leaving = true;
-	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_FALLBACK) << "it hears no other reader";
-	sight.leaving = false;
-	sight.better = 2;
+	state.leaving = true;
+	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_FALLBACK) << "it has no report of another reader";
+	state.leaving = false;
+	state.better = 2;
 	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_FALLBACK);
-	tell(1, 100);
+	add_report(1, 100);
 	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_FOLLOWER);
-	sight.listed = false;
-	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_DIRECT) << "the first list is its own";
+	state.listed = false;
+	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_DIRECT) << "a VM reads the first list itself";
 }
 
-/* Readers that are killed, frozen, or cut off say nothing; those that only the directory is cut off
- * from say that it has not answered. */
-TEST_F(ReadersTest, WhoHearsNoFreshReaderReadsWithinASecondAndAPart)
+/* Readers that are killed, frozen or partitioned send no reports. Readers that are partitioned only
+ * from the directory report that it has not answered. */
+TEST_F(ReaderElectionTest, FallsBackWithinJitterWithoutAFreshReport)
 {
-	tell(1, 100);
+	add_report(1, 100);
 	for (int i = 0; i < 20; i++, now_us += 100 * ms)
 	{
-		tell(1, 100);
+		add_report(1, 100);
 		EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_FOLLOWER);
 	}
 	uint64_t last_us = now_us - 100 * ms;
@@ -90,14 +90,14 @@
 		now_us += 10 * ms;
 	EXPECT_GE(now_us - last_us, 1000 * ms);
 	EXPECT_LE(now_us - last_us, 1300 * ms);
-	tell(1, 100, 1500 * ms);
+	add_report(1, 100, 1500 * ms);
 	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_FALLBACK)
-		<< "the directory has not answered it of late";
-	tell(2, 100, 200 * ms);
+		<< "the directory has not answered the reader recently";
+	add_report(2, 100, 200 * ms);
 	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_FOLLOWER);
 }
 
-TEST(Readers, HundredsThatLoseTheirReadersAreDrawnApart)
+TEST(ReaderElection, JitterSpreadsTheFallbackOfManyVms)
 {
 	std::set<uint64_t> times;
 	for (uint64_t vm = 1; vm <= 100; vm++)
@@ -105,10 +105,10 @@
 		comet_reader_election *reader_election =
 			comet_reader_election_create(nullptr, 1000 * ms, vm);
 		comet_reader_report report = {1, 100, 100, 0};
-		comet_reader_election_state sight = {true, false, 60, 5, 100};
+		comet_reader_election_state state = {true, false, 60, 5, 100};
 		uint64_t now_us = 50000000;
 		comet_reader_election_report(reader_election, &report, now_us);
-		while (comet_reader_election_decide(reader_election, &sight, now_us) ==
+		while (comet_reader_election_decide(reader_election, &state, now_us) ==
 			COMET_DIRECTORY_MODE_FOLLOWER)
 			now_us += 10 * ms;
 		times.insert(now_us);
@@ -117,49 +117,49 @@
 	EXPECT_GE(times.size(), 20U);
 }
 
-/* A reader that tells of what it does not hand out, or that nobody wrote. */
-TEST_F(ReadersTest, WhoIsLeftBehindReadsForItself)
+/* A reader reports positions that it does not provide, or that do not exist. */
+TEST_F(ReaderElectionTest, FallsBackIfAReaderStaysAhead)
 {
-	tell(1, 200);
+	add_report(1, 200);
 	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_FOLLOWER);
 	EXPECT_EQ(comet_reader_election_ahead(reader_election, 100, now_us), 1U);
 	for (int i = 0; i < 6; i++, now_us += 100 * ms)
 	{
-		tell(1, 200);
+		add_report(1, 200);
 		EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_FOLLOWER);
 	}
-	tell(1, 200);
+	add_report(1, 200);
 	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_FALLBACK);
-	sight.position = 200;
+	state.position = 200;
 	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_FOLLOWER);
 	EXPECT_EQ(comet_reader_election_ahead(reader_election, 200, now_us), 0U);
 	comet_reader_election_failed(reader_election, now_us);
 	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_FALLBACK);
 	now_us += 1000 * ms;
-	tell(1, 200);
+	add_report(1, 200);
 	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_FOLLOWER);
 }
 
-TEST_F(ReadersTest, TheOneThatHasReadMostIsAskedAndOldOnesAreForgotten)
+TEST_F(ReaderElectionTest, TheFurthestReaderIsAheadAndStaleReportsExpire)
 {
 	for (uint32_t vm = 1; vm <= 20; vm++)
 	{
-		tell(vm, 100 + vm);
+		add_report(vm, 100 + vm);
 		now_us += 10 * ms;
 	}
 	EXPECT_EQ(comet_reader_election_ahead(reader_election, 100, now_us), 20U);
-	tell(3, 300);
+	add_report(3, 300);
 	EXPECT_EQ(comet_reader_election_ahead(reader_election, 100, now_us), 3U);
 	now_us += 1000 * ms;
 	EXPECT_EQ(comet_reader_election_ahead(reader_election, 100, now_us), 0U);
 }
 
-/* Followers asked any reader for a document, half of them the one that had not read it, and then
- * read the directory themselves. */
-TEST_F(ReadersTest, WhoHasNotReadThatFarIsNotPicked)
+/* Followers requested a document from any reader, in half of the cases from one that had not read
+ * it, and then read the directory themselves. */
+TEST_F(ReaderElectionTest, ReadersBehindThePositionAreNotPicked)
 {
-	tell(1, 200);
-	tell(2, 100);
+	add_report(1, 200);
+	add_report(2, 100);
 	std::set<uint32_t> picked;
 	for (int i = 0; i < 50; i++)
 		picked.insert(comet_reader_election_pick(reader_election, 150, now_us));
@@ -173,8 +173,8 @@
 	EXPECT_EQ(comet_reader_election_pick(reader_election, 100, now_us), 0U);
 }
 
-/* A reader told of endpoints while an older document was on its way to it. */
-TEST_F(ReadersTest, AReaderIsAheadByADocumentAlone)
+/* A reader reported its endpoints while it only had an older routing document. */
+TEST_F(ReaderElectionTest, AReaderMayBeAheadByADocumentOnly)
 {
 	comet_reader_report report = {1, 200, 150, 0};
 	comet_reader_election_report(reader_election, &report, now_us);
@@ -184,11 +184,12 @@
 	comet_reader_election_report(reader_election, &report, now_us);
 	EXPECT_EQ(comet_reader_election_ahead(reader_election, 200, now_us), 0U);
 	EXPECT_EQ(comet_reader_election_ahead_complete(reader_election, 150, now_us), 1U);
-	sight.position = 200;
+	state.position = 200;
 	for (int i = 0; i < 20; i++, now_us += 100 * ms)
 	{
 		comet_reader_election_report(reader_election, &report, now_us);
-		EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_FOLLOWER) << "a document may take long";
+		EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_FOLLOWER)
+			<< "a document may take a long time to arrive";
 	}
 }
 
