--- a/libcometspindle/gateway/event_stream.h
+++ b/libcometspindle/gateway/event_stream.h
@@ -42,8 +42,7 @@
 size_t
 comet_event_stream_unfinished(const struct comet_event_stream *stream);
 
-/** @return the event id after which another endpoint can resume, or NULL if the stream cannot be
- * resumed. */
+/** @return the event id after which another endpoint can resume, or NULL if there is none. */
 const char *
 comet_event_stream_last_id(const struct comet_event_stream *stream);
 
--- a/libcometspindle/gateway/fleet/gossip.c
+++ b/libcometspindle/gateway/fleet/gossip.c
@@ -8,11 +8,11 @@
 #include <string.h>
 #include <talloc.h>
 
-/* A VM is unreachable after this many rounds without a view, and after this minimum time. */
+/* A VM is unreachable after this many rounds without a view, but not before the minimum time. */
 #define UNREACHABLE_ROUNDS 5
 #define UNREACHABLE_MIN_US 1000000
 
-/* An unreachable VM is removed after this time, because a replaced VM does not come back. */
+/* A VM is removed after this time without a view, because a replaced VM does not come back. */
 #define PEER_EXPIRY_US 20000000
 
 /* Bounds on the known VMs, and on the teams stored for each of them: five times the VMs and three
@@ -107,17 +107,17 @@
  * amount if the peer is younger than the window or has reported before. */
 static uint64_t
 unreported_spending(
-	const struct comet_gossip_peer *peer, const comet_Spent *spent, bool within_window)
+	const struct comet_gossip_peer *peer, const comet_Spent *spent, bool started_within_window)
 {
 	if (spent->lately > 0)
 		return MIN(spent->lately, spent->amount);
-	return within_window || peer->has_reported_spending ? spent->amount : 0;
+	return started_within_window || peer->has_reported_spending ? spent->amount : 0;
 }
 
 /* Charges the team for what the peer has spent since its last report. */
 static void
 merge_spending(struct comet_gossip *gossip, struct comet_gossip_peer *peer,
-	const comet_Spent *spent, bool within_window, uint64_t now_us)
+	const comet_Spent *spent, bool started_within_window, uint64_t now_us)
 {
 	gpointer key = GUINT_TO_POINTER(spent->team);
 	uint64_t *reported = g_hash_table_lookup(peer->reported_spending, key);
@@ -127,7 +127,7 @@
 	if (reported == NULL)
 	{
 		reported = g_new0(uint64_t, 1);
-		*reported = spent->amount - unreported_spending(peer, spent, within_window);
+		*reported = spent->amount - unreported_spending(peer, spent, started_within_window);
 		g_hash_table_insert(peer->reported_spending, key, reported);
 	}
 	if (spent->amount > *reported)
@@ -176,7 +176,7 @@
 			gossip->ctx, peer->address, true, restarted ? "restarted" : "heard");
 	peer->incarnation = view->incarnation;
 	peer->started_us = now_us - MIN((uint64_t)view->age_ms * 1000, now_us);
-	peer->number = view->number;
+	peer->view_number = view->number;
 	peer->last_seen_us = now_us;
 	peer->unreachable = false;
 	peer->leaving = view->leaving;
@@ -205,7 +205,7 @@
 	if (peer == NULL)
 		return true;
 	/* A datagram that arrived out of order. */
-	if (peer->incarnation == view->incarnation && view->number <= peer->number)
+	if (peer->incarnation == view->incarnation && view->number <= peer->view_number)
 		return true;
 	merge_view(gossip, peer, view, now_us);
 	merge_peers(gossip, view, now_us);
@@ -214,7 +214,7 @@
 	return true;
 }
 
-/* Marks VMs as unreachable, and removes those that have been unreachable for PEER_EXPIRY_US. */
+/* Marks VMs as unreachable, and removes those without a view for PEER_EXPIRY_US. Seeds are kept. */
 static void
 expire_peers(struct comet_gossip *gossip, uint64_t now_us)
 {
--- a/libcometspindle/gateway/fleet/gossip.h
+++ b/libcometspindle/gateway/fleet/gossip.h
@@ -3,8 +3,8 @@
  * exchange of state between VMs: which VMs are alive, what they run and what they spend
  *
  * A VM reports its state in views, which are datagrams. Each view replaces the
- * previous one, so a lost datagram is made good by the next. VMs find each other
- * from seeds and from the peers listed in views. VMs of the same availability zone
+ * previous one, so a lost datagram is not sent again. VMs find each other from
+ * seeds and from the peers listed in views. VMs of the same availability zone
  * exchange views more often, because they prefer the same endpoints and because
  * traffic between zones is charged. This module uses no sockets and no clock.
  */
--- a/libcometspindle/gateway/fleet/gossip_rounds.c
+++ b/libcometspindle/gateway/fleet/gossip_rounds.c
@@ -35,8 +35,8 @@
  * may be lost. */
 #define RECENT_SPENDING_US (4 * ROUND_INTERVAL_MAX_US)
 
-/* Number of other teams that each view reports in turn, for VMs that have just started and to make
- * good lost datagrams. */
+/* Number of other teams that each view reports in turn, for VMs that have just started and to
+ * compensate for lost datagrams. */
 #define OTHER_TEAMS_PER_VIEW 6
 
 /* In a zone with at least this many VMs, each forwarder serves half of them: if both served all,
@@ -62,7 +62,7 @@
 {
 	gpointer id = GUINT_TO_POINTER(peer->zone);
 	struct comet_gossip_zone *zone = g_hash_table_lookup(gossip->zones, id);
-	uint64_t score = comet_hash_score(gossip->number ^ gossip->address, peer->address);
+	uint64_t score = comet_hash_score(gossip->view_number ^ gossip->address, peer->address);
 	uint32_t forwarder = peer->address;
 
 	if (zone == NULL)
@@ -233,7 +233,8 @@
 	}
 }
 
-/* Lists some VMs in turn. zone: the zone of an isolated VM, whose VMs are listed first; 0: all. */
+/* Lists some VMs in turn. zone: the zone of an isolated VM, which gets VMs of its zone or, if none
+ * is known, others; 0: all. */
 static void
 add_peers(struct comet_gossip *gossip, comet_View *view, uint32_t zone)
 {
@@ -261,7 +262,7 @@
 	memset(datagram, 0, sizeof *datagram);
 	datagram->which_body = comet_Datagram_view_tag;
 	view->incarnation = gossip->incarnation;
-	view->number = ++gossip->number;
+	view->number = ++gossip->view_number;
 	view->address = gossip->address;
 	view->leaving = gossip->leaving;
 	view->revision = gossip->revision;
--- a/libcometspindle/gateway/fleet/gossip_state.h
+++ b/libcometspindle/gateway/fleet/gossip_state.h
@@ -15,7 +15,7 @@
 {
 	uint32_t address;
 	uint64_t incarnation;
-	uint64_t number;
+	uint64_t view_number;    /* number of the last view */
 	uint64_t last_seen_us;   /* 0: no view received yet */
 	uint64_t first_known_us; /* when this VM first learned of it */
 	uint64_t started_us;     /* start of its process, from the age that it reports */
@@ -46,7 +46,7 @@
 {
 	uint32_t address;
 	uint64_t incarnation;
-	uint64_t number;
+	uint64_t view_number; /* number of the last view */
 	uint64_t started_us;
 	uint64_t revision;
 	uint32_t window_ms;
--- a/tests/unit/test_gateway_views.cc
+++ b/tests/unit/test_gateway_views.cc
@@ -297,8 +297,8 @@
 		before - 140);
 }
 
-/* Each view listed every team that its VM had served since its start. Of 900 bytes that each of 295
- * VMs sent, 700 held nothing new, and these views filled the links and delayed responses. */
+/* Each view listed every team that its VM had served since its start. Of the 900 bytes of a
+ * view, 700 held nothing new, and the views of 295 VMs filled their links and delayed responses. */
 TEST(Gossip, ViewSizeDependsOnRecentSpendingOnly)
 {
 	comet_http_limits limits = {};
