--- a/libcometspindle/adapters/gateway/forward_head.h
+++ b/libcometspindle/adapters/gateway/forward_head.h
@@ -1,10 +1,10 @@
 /*
  * forward_head.h
- * the head of a caller's request as an endpoint gets it
+ * writes the request head that is forwarded to an endpoint
  *
- * What callers say under names by which a gateway orders endpoints about is
- * dropped: those headers reach an endpoint as the gateway sets them, or not at
- * all. Every sending of every request is written here.
+ * Headers through which the gateway controls endpoints are removed from the
+ * caller's request: an endpoint receives them only with the gateway's values.
+ * The head of every attempt of every request is written by this module.
  */
 #ifndef COMETSPINDLE_ADAPTERS_FORWARD_HEAD_H
 #define COMETSPINDLE_ADAPTERS_FORWARD_HEAD_H
@@ -12,19 +12,19 @@
 #include <libcometspindle/adapters/http_reader.h>
 #include <libcometspindle/gateway/header_names.h>
 
-/** What the gateway says of one sending. */
+/** Values that the gateway sets for one attempt. */
 struct comet_forward_params
 {
-	uint64_t left_ms;       /**< how long the caller still waits */
-	const char *instance;   /**< id of the endpoint that it is meant for */
-	const char *team;       /**< whose key it was; NULL: an open route */
-	const char *last_event; /**< a stream goes on after this event; NULL: not resumed here */
+	uint64_t left_ms;       /**< time until the caller's deadline */
+	const char *instance;   /**< id of the endpoint that the attempt is sent to */
+	const char *team;       /**< team that the API key belongs to; NULL on an open route */
+	const char *last_event; /**< id of the event after which to resume; NULL if not resuming */
 	size_t body_bytes;
 };
 
-/** Appends the whole head, to the empty line. */
+/** Appends the complete head, including the empty line that ends it. */
 void
 comet_forward_write_head(GString *out, const struct comet_http_head *head,
-	const struct comet_header_names *names, const struct comet_forward_params *forward);
+	const struct comet_header_names *names, const struct comet_forward_params *params);
 
 #endif
