--- a/libcometspindle/adapters/gateway/gateway_admit.c
+++ b/libcometspindle/adapters/gateway/gateway_admit.c
@@ -1,6 +1,6 @@
 /*
  * gateway_admit.c
- * one request at a gateway: its admission, from its arrival to its place in a queue
+ * admission of a proxy request, from its arrival until it is queued for an endpoint
  */
 #include <libcometspindle/adapters/gateway/proxy_request.h>
 
@@ -9,41 +9,44 @@
 #include <strings.h>
 #include <talloc.h>
 
-/* A caller that waits for a stream leaves after the longest of a fixed time and some multiples of
- * what the route aims at; nothing is worth starting for it after that. */
-#define PATIENCE_MIN_MS 2000
-#define PATIENCE_AIMS 4
-#define PATIENCE_GAPS 8
+/* The caller of a stream disconnects if the first event does not arrive within the longest of a
+ * fixed time and these multiples of the route's target latency and target gap. A request is not
+ * sent to an endpoint after that. */
+#define FIRST_EVENT_TIMEOUT_MIN_MS 2000
+#define FIRST_EVENT_TIMEOUT_TARGETS 4
+#define FIRST_EVENT_TIMEOUT_GAPS 8
 
-/* Part of a caller's patience that is kept for the endpoint's work. */
-#define WORK_PART 0.25
+/* Share of the caller's timeout that is reserved for the endpoint's processing. */
+#define PROCESSING_SHARE 0.25
 
-/* Within this part of its aim a refusal costs the caller little: it can still be in time. */
-#define EARLY_PART 4
+/* A caller that is refused within the target latency divided by this can retry and still be
+ * answered in time. */
+#define EARLY_REFUSAL_DIVISOR 4
 
-/* A VM that knows no routes yet asks to come back after this time: a start takes about as long.
- * Once the directory has left a call unanswered, an outage goes on, which lasts for seconds:
- * callers that may try once more would be refused again. */
+/* Retry-After of a VM that has no routing table yet. A start takes about half a second. After the
+ * directory has failed to answer a call, the outage usually lasts for seconds, and callers that
+ * retry only once would be refused again. */
 #define NOT_READY_RETRY_S "0.5"
 #define OUTAGE_RETRY_S "4"
 
-/* A VM that stops sends callers to the others, which are there. */
+/* Retry-After of a VM that is stopping: the other VMs can take the request immediately. */
 #define STOPPING_RETRY_S "0.05"
 
-/* A request that may just have crashed a third endpoint comes back after this time: a process that
- * refuses connections is known to have crashed within a second, a silent one within four. */
-#define DOUBT_RETRY_MS 2000
+/* Retry-After of a request that is suspected of having just crashed a third endpoint. A crash is
+ * detected within one second if the endpoint refuses connections, and within four if it is silent.
+ */
+#define SUSPECT_RETRY_AFTER_MS 2000
 
 static int
-call_destroy(struct comet_proxy_request *relay)
+proxy_request_destructor(struct comet_proxy_request *relay)
 {
 	relay->gateway->calls--;
-	g_queue_delete_link(&relay->gateway->relays, relay->open);
-	if (relay->attempt != NULL) /* the process ends */
-		g_queue_delete_link(&relay->gateway->active_attempts, relay->attempt);
+	g_queue_delete_link(&relay->gateway->relays, relay->open_link);
+	if (relay->attempt_link != NULL) /* only when the gateway itself is freed */
+		g_queue_delete_link(&relay->gateway->active_attempts, relay->attempt_link);
 	comet_route_table_unref(relay->table);
-	if (relay->answer != NULL)
-		g_byte_array_free(relay->answer, TRUE);
+	if (relay->buffered_body != NULL)
+		g_byte_array_free(relay->buffered_body, TRUE);
 	return 0;
 }
 
@@ -52,7 +55,7 @@
 {
 	struct comet_proxy_request *relay = ctx;
 
-	relay->deadline = NULL;
+	relay->deadline_timer = NULL;
 	if (relay->exchange != NULL)
 	{
 		relay->may_have_run = relay->may_have_run || comet_exchange_sent(relay->exchange);
@@ -61,9 +64,9 @@
 	comet_proxy_request_fail(relay, 504, "deadline");
 }
 
-/* The key of a request's team, or NULL. */
+/* Returns the API key of a request, or NULL. */
 static const char *
-key_of(const struct comet_gateway *gateway, const struct comet_http_head *head)
+get_api_key(const struct comet_gateway *gateway, const struct comet_http_head *head)
 {
 	const char *value = comet_http_head_get(head, gateway->names->authorization);
 	size_t length = strlen(gateway->names->key_scheme);
@@ -76,9 +79,9 @@
 	return value + length;
 }
 
-/* Sizes of the request, from what its caller tells. */
+/* Reads the size of the request from the caller's headers. */
 static void
-read_job(struct comet_proxy_request *relay)
+parse_request_size(struct comet_proxy_request *relay)
 {
 	const struct comet_header_names *names = relay->gateway->names;
 	const struct comet_http_head *head = relay->request->head;
@@ -88,21 +91,21 @@
 	uint32_t expected = 0;
 
 	job->stream = comet_proxy_request_is_stream(relay);
-	relay->charge =
+	relay->quota_amount =
 		relay->team != NULL && relay->team->in_tokens ? relay->team->default_tokens : 1;
 	if (tokens == NULL ||
 		!comet_header_parse_tokens(tokens, &job->prompt_tokens, &job->output_tokens))
 		return;
 	job->output_most = job->output_tokens;
 	if (relay->team != NULL && relay->team->in_tokens)
-		relay->charge = (uint64_t)job->prompt_tokens + job->output_tokens;
+		relay->quota_amount = (uint64_t)job->prompt_tokens + job->output_tokens;
 	if (hint != NULL && comet_header_parse_ms(hint, &expected) && expected > 0)
 		job->output_tokens = MIN(expected, job->output_tokens);
 }
 
-/* Which request it is, whatever id this attempt of it has. */
+/* Computes a fingerprint that stays the same when a caller repeats the request under another id. */
 static void
-read_fingerprint(struct comet_proxy_request *relay)
+compute_fingerprint(struct comet_proxy_request *relay)
 {
 	const struct comet_http_head *head = relay->request->head;
 	const GByteArray *body = relay->request->body;
@@ -118,38 +121,41 @@
 	relay->fingerprint = comet_fingerprint_of(&parts);
 }
 
-/* Until when the request is worth sending, and until when its caller waits. */
+/* Computes the caller's deadline, and the time after which the request is not sent any more. */
 static void
-read_times(struct comet_proxy_request *relay)
+compute_deadlines(struct comet_proxy_request *relay)
 {
 	const struct comet_route *route = relay->route;
-	const char *told =
+	const char *deadline_text =
 		comet_http_head_get(relay->request->head, relay->gateway->names->deadline_ms);
-	uint64_t patience_ms = UINT32_MAX;
+	uint64_t timeout_ms = UINT32_MAX;
 	uint32_t deadline_ms = 0;
 
-	if (told != NULL && comet_header_parse_ms(told, &deadline_ms))
-		patience_ms = deadline_ms;
+	if (deadline_text != NULL && comet_header_parse_ms(deadline_text, &deadline_ms))
+		timeout_ms = deadline_ms;
 	if (route->timeout_ms > 0)
-		patience_ms = MIN(patience_ms, route->timeout_ms);
-	relay->end_us = relay->arrived_us + patience_ms * 1000;
+		timeout_ms = MIN(timeout_ms, route->timeout_ms);
+	relay->deadline_us = relay->arrived_us + timeout_ms * 1000;
 	if (comet_proxy_request_is_stream(relay))
 	{
-		uint64_t first_ms = MAX(PATIENCE_MIN_MS, (uint64_t)PATIENCE_AIMS * route->aim_ms);
-		first_ms = MAX(first_ms, (uint64_t)PATIENCE_GAPS * route->gap_ms);
-		patience_ms = MIN(patience_ms, first_ms);
+		uint64_t first_event_ms = MAX(FIRST_EVENT_TIMEOUT_MIN_MS,
+			(uint64_t)FIRST_EVENT_TIMEOUT_TARGETS * route->aim_ms);
+		first_event_ms =
+			MAX(first_event_ms, (uint64_t)FIRST_EVENT_TIMEOUT_GAPS * route->gap_ms);
+		timeout_ms = MIN(timeout_ms, first_event_ms);
 	}
 	relay->item.dispatch_deadline_us =
-		relay->arrived_us + (uint64_t)((double)patience_ms * 1000 * (1 - WORK_PART));
-	relay->item.end_us = relay->end_us;
+		relay->arrived_us + (uint64_t)((double)timeout_ms * 1000 * (1 - PROCESSING_SHARE));
+	relay->item.end_us = relay->deadline_us;
 	relay->item.soft_deadline_us =
 		route->aim_ms > 0 ? relay->arrived_us + (uint64_t)route->aim_ms * 1000 : 0;
-	relay->item.early_us = relay->arrived_us + (uint64_t)route->aim_ms * 1000 / EARLY_PART;
+	relay->item.early_us =
+		relay->arrived_us + (uint64_t)route->aim_ms * 1000 / EARLY_REFUSAL_DIVISOR;
 }
 
-/* Hands the request to placement. */
+/* Queues the request for an endpoint. */
 static void
-place(struct comet_proxy_request *relay, uint64_t now_us)
+queue_request(struct comet_proxy_request *relay, uint64_t now_us)
 {
 	struct comet_gateway *gateway = relay->gateway;
 	struct comet_placement_item *item = &relay->item;
@@ -160,17 +166,17 @@
 		relay->team != NULL && relay->team->has_priority ? relay->team->priority : 0;
 	item->route_rank = relay->route->priority;
 	item->repeatable = comet_route_is_retryable(relay->route) && relay->route->max_attempts > 1;
-	relay->answer = g_byte_array_new();
+	relay->buffered_body = g_byte_array_new();
 	if (comet_proxy_request_is_stream(relay))
 		relay->events = comet_event_stream_create(relay);
-	if (relay->end_us > now_us)
-		relay->deadline = comet_timers_add(
-			gateway->timers, relay, relay->end_us - now_us, on_deadline, relay);
+	if (relay->deadline_us > now_us)
+		relay->deadline_timer = comet_timers_add(
+			gateway->timers, relay, relay->deadline_us - now_us, on_deadline, relay);
 	gateway->counts.admitted++;
 	comet_placement_submit(gateway->placement, item, now_us);
 }
 
-/* Finds the team of a request's key. @return false when it was answered. */
+/* Finds the team of the request's API key. @return false if the request was refused. */
 static bool
 find_team(struct comet_proxy_request *relay)
 {
@@ -178,7 +184,7 @@
 
 	if (relay->route->open || !comet_route_table_needs_keys(relay->table))
 		return true;
-	const char *key = key_of(gateway, relay->request->head);
+	const char *key = get_api_key(gateway, relay->request->head);
 	relay->team = key != NULL ? comet_route_table_team_by_key(relay->table, key) : NULL;
 	if (relay->team != NULL)
 		return true;
@@ -187,7 +193,7 @@
 	return false;
 }
 
-/* Finds the route of a request. @return false when it was answered. */
+/* Finds the route of a request. @return false if the request was refused. */
 static bool
 find_route(struct comet_proxy_request *relay)
 {
@@ -212,13 +218,13 @@
 	return true;
 }
 
-/* It is charged: places it. */
+/* Called once the request has been charged: selects a service and queues the request. */
 static void
 admit(struct comet_proxy_request *relay, uint64_t now_us)
 {
 	struct comet_gateway *gateway = relay->gateway;
 
-	read_times(relay);
+	compute_deadlines(relay);
 	relay->service = talloc_strdup(
 		relay, comet_route_pick_service(relay->route, comet_random_u32(&gateway->draw)));
 	comet_log(COMET_LOG_INFO,
@@ -229,10 +235,10 @@
 		relay->team != NULL ? relay->team->name : "-", relay->item.job.prompt_tokens,
 		relay->item.job.output_tokens, relay->item.job.output_most,
 		comet_route_table_version(relay->table));
-	place(relay, now_us);
+	queue_request(relay, now_us);
 }
 
-/* Nothing can be admitted before the routes are known. */
+/* Refuses a request that arrived before the first routing table. */
 static void
 refuse_not_ready(struct comet_gateway *gateway, struct comet_http_server_request *request)
 {
@@ -255,7 +261,7 @@
 	}
 	if (gateway->refusing)
 	{
-		/* Too late to be finished before this process ends: others take it at once. */
+		/* The request might not finish before this process exits. */
 		gateway->counts.refused_early++;
 		comet_http_server_respond(
 			request, 503, "Retry-After: " STOPPING_RETRY_S "\r\n", "", 0);
@@ -264,8 +270,8 @@
 	struct comet_proxy_request *relay = talloc_zero(gateway, struct comet_proxy_request);
 	gateway->calls++;
 	g_queue_push_tail(&gateway->relays, relay);
-	relay->open = g_queue_peek_tail_link(&gateway->relays);
-	talloc_set_destructor(relay, call_destroy);
+	relay->open_link = g_queue_peek_tail_link(&gateway->relays);
+	talloc_set_destructor(relay, proxy_request_destructor);
 	relay->gateway = gateway;
 	relay->request = request;
 	relay->table = comet_route_table_ref(gateway->table);
@@ -274,7 +280,7 @@
 	request->user = relay;
 	if (!find_route(relay) || !find_team(relay))
 		return;
-	read_fingerprint(relay);
+	compute_fingerprint(relay);
 	if (comet_proxy_request_is_quarantined(relay))
 	{
 		comet_proxy_request_refuse_quarantined(relay);
@@ -283,9 +289,9 @@
 	if (comet_crash_tracker_is_undecided(
 		    gateway->crash_tracker, &relay->fingerprint, comet_timers_now_us()))
 	{
-		comet_proxy_request_refuse(relay, "may_crash_endpoints", DOUBT_RETRY_MS);
+		comet_proxy_request_refuse(relay, "may_crash_endpoints", SUSPECT_RETRY_AFTER_MS);
 		return;
 	}
-	read_job(relay);
+	parse_request_size(relay);
 	comet_proxy_request_charge(relay, admit);
 }
--- a/libcometspindle/adapters/gateway/gateway_grants.c
+++ b/libcometspindle/adapters/gateway/gateway_grants.c
@@ -1,57 +1,59 @@
 /*
  * gateway_grants.c
- * slots asked for at other VMs, and granted to them: what connects placement, views and grants
+ * connects placement, gossip and grants: slot requests to other VMs, and slots granted to them
  */
 #include <libcometspindle/adapters/gateway/proxy_request.h>
 
 #include <libcometspindle/log.h>
 
-/* How often open asks are looked at: a part of the time after which they are given up. */
-#define ASKS_TICK_US 10000
+/* Interval at which pending slot requests are checked; a fraction of their timeout. */
+#define SLOT_REQUEST_TICK_US 10000
 
-/* Who keeps count is looked up again after this time: as often as silent VMs are looked for. */
-#define KEEPER_FRESH_US 50000
+/* The owner of a shard is looked up again after this time, as often as the gateway checks for VMs
+ * that have gone silent. */
+#define OWNER_RECHECK_US 50000
 
 static void
-on_asks_tick(void *ctx)
+on_grants_tick(void *ctx)
 {
 	struct comet_gateway *gateway = ctx;
 
 	gateway->grants_timer = NULL;
 	if (comet_grants_tick(gateway->grants, comet_timers_now_us()))
 		gateway->grants_timer = comet_timers_add(
-			gateway->timers, gateway, ASKS_TICK_US, on_asks_tick, gateway);
+			gateway->timers, gateway, SLOT_REQUEST_TICK_US, on_grants_tick, gateway);
 }
 
-/* Is a VM not to be asked just now? */
-struct mute_query
+/* Context of is_unresponsive(). */
+struct responsiveness_query
 {
 	const struct comet_grants *grants;
 	uint64_t now_us;
 };
 
 static bool
-is_mute(const void *ctx, uint32_t vm)
+is_unresponsive(const void *ctx, uint32_t vm)
 {
-	const struct mute_query *query = ctx;
+	const struct responsiveness_query *query = ctx;
 
 	return comet_grants_is_unresponsive(query->grants, vm, query->now_us);
 }
 
-/* Who keeps count of a shard: 0 when nobody does, or none is to be asked. A VM that died goes on
- * being the one until its views are missed, for seconds; the next best is asked in its place. */
+/* Returns the owner of a shard; 0 if there is none, or if no VM is to be asked. A VM that has died
+ * stays the owner for seconds, until its gossip expires; meanwhile the VM that ranks next is asked.
+ */
 static uint32_t
-keeper_of(const struct comet_gateway *gateway, struct comet_shard *shard, uint64_t now_us)
+get_shard_owner(const struct comet_gateway *gateway, struct comet_shard *shard, uint64_t now_us)
 {
-	const struct mute_query query = {gateway->grants, now_us};
+	const struct responsiveness_query query = {gateway->grants, now_us};
 
 	if (!gateway->settings->ask_keepers)
 		return 0;
-	if (shard->owner_checked_us == 0 || now_us - shard->owner_checked_us >= KEEPER_FRESH_US ||
-		is_mute(&query, shard->keeper))
+	if (shard->owner_checked_us == 0 || now_us - shard->owner_checked_us >= OWNER_RECHECK_US ||
+		is_unresponsive(&query, shard->keeper))
 	{
-		shard->keeper = comet_gossip_find_responsive_owner(
-			gateway->gossip, shard->id, shard->zone_id, is_mute, &query, now_us);
+		shard->keeper = comet_gossip_find_responsive_owner(gateway->gossip, shard->id,
+			shard->zone_id, is_unresponsive, &query, now_us);
 		shard->owner_checked_us = now_us;
 	}
 	return shard->keeper;
@@ -62,7 +64,7 @@
 {
 	const struct comet_gateway *gateway = ctx;
 	uint64_t now_us = comet_timers_now_us();
-	uint32_t keeper = keeper_of(gateway, shard, now_us);
+	uint32_t keeper = get_shard_owner(gateway, shard, now_us);
 
 	if (keeper == comet_datagram_socket_address(gateway->link))
 		return COMET_PLACEMENT_OWNER_SELF;
@@ -78,10 +80,11 @@
 	struct comet_gateway *gateway = ctx;
 	uint64_t now_us = comet_timers_now_us();
 
-	comet_grants_request(gateway->grants, item, keeper_of(gateway, shard, now_us), ask, now_us);
+	comet_grants_request(
+		gateway->grants, item, get_shard_owner(gateway, shard, now_us), ask, now_us);
 	if (gateway->grants_timer == NULL)
 		gateway->grants_timer = comet_timers_add(
-			gateway->timers, gateway, ASKS_TICK_US, on_asks_tick, gateway);
+			gateway->timers, gateway, SLOT_REQUEST_TICK_US, on_grants_tick, gateway);
 }
 
 void
@@ -98,10 +101,11 @@
 	comet_datagram_socket_send(gateway->link, address, data, length);
 }
 
-/* A granted slot is not used: says so where the reason is an evacuation that its keeper did not
- * know of. */
+/* Logs a granted slot that is released unused because the endpoint has been evacuated, which its
+ * owner did not know yet. */
 static void
-note_returned(struct comet_gateway *gateway, const struct comet_placement_item *item, uint32_t key)
+log_evacuated_grant(
+	struct comet_gateway *gateway, const struct comet_placement_item *item, uint32_t key)
 {
 	const struct comet_instance *instance = comet_instances_find_key(gateway->instances, key);
 	const struct comet_proxy_request *relay = item->owner;
@@ -120,7 +124,7 @@
 	uint64_t now_us = comet_timers_now_us();
 
 	gateway->counts.granted++;
-	note_returned(gateway, item, instance_key); /* the item may be gone after the next call */
+	log_evacuated_grant(gateway, item, instance_key); /* the next call may free the item */
 	if (!comet_placement_granted(gateway->placement, item, keeper, instance_key, now_us))
 		comet_grants_release(gateway->grants, keeper, instance_key, NULL);
 	comet_placement_run(gateway->placement, now_us);
@@ -138,7 +142,7 @@
 }
 
 static void
-on_waits(void *ctx, struct comet_placement_item *item, uint64_t expected_us)
+on_expected_wait(void *ctx, struct comet_placement_item *item, uint64_t expected_us)
 {
 	struct comet_gateway *gateway = ctx;
 
@@ -147,7 +151,7 @@
 }
 
 static void
-on_waited(void *ctx, struct comet_placement_item *item)
+on_wait_expired(void *ctx, struct comet_placement_item *item)
 {
 	struct comet_gateway *gateway = ctx;
 	uint64_t now_us = comet_timers_now_us();
@@ -158,7 +162,7 @@
 }
 
 static void
-on_unanswered(void *ctx, struct comet_placement_item *item, uint32_t keeper)
+on_owner_unresponsive(void *ctx, struct comet_placement_item *item, uint32_t keeper)
 {
 	struct comet_gateway *gateway = ctx;
 	const struct comet_proxy_request *relay = item->owner;
@@ -166,31 +170,32 @@
 	uint64_t now_us = comet_timers_now_us();
 
 	gateway->counts.unanswered++;
-	comet_log(COMET_LOG_NOTICE, "event=keeper_mute request=%s vm=%s", relay->id,
+	comet_log(COMET_LOG_NOTICE, "event=owner_unresponsive request=%s vm=%s", relay->id,
 		comet_datagram_socket_format_address(keeper, text));
 	comet_placement_unanswered(gateway->placement, item, now_us);
 	comet_placement_run(gateway->placement, now_us);
 }
 
-/* Another VM's request has a slot. */
+/* Records a slot that was granted to a request of another VM. */
 static void
-count_grant(struct comet_gateway *gateway, uint32_t asker, const struct comet_instance *instance,
+record_grant(struct comet_gateway *gateway, uint32_t asker, const struct comet_instance *instance,
 	uint32_t prompt_tokens)
 {
 	comet_gossip_slot_granted(
 		gateway->gossip, asker, instance->key, prompt_tokens, comet_timers_now_us());
 }
 
-/* Milliseconds that a datagram tells, as a time; 0 stays 0. */
+/* Converts the remaining milliseconds in a datagram to a point in time; 0 stays 0. */
 static uint64_t
-time_of(uint32_t left_ms, uint64_t now_us)
+time_from_remaining(uint32_t left_ms, uint64_t now_us)
 {
 	return left_ms > 0 ? now_us + (uint64_t)left_ms * 1000 : 0;
 }
 
-/* Chooses an endpoint for another VM's request, now or when a slot comes free. */
+/* Selects an endpoint for a slot request of another VM. Returns 0 if the request has to wait or is
+ * denied. */
 static uint32_t
-choose_for(void *ctx, const comet_SlotAsk *ask, struct comet_placement_wait_estimate *wait)
+choose_for_remote(void *ctx, const comet_SlotAsk *ask, struct comet_placement_wait_estimate *wait)
 {
 	struct comet_gateway *gateway = ctx;
 	uint64_t now_us = comet_timers_now_us();
@@ -210,8 +215,8 @@
 		.team_rank = ask->team_rank,
 		.route_rank = ask->route_rank,
 		.late = ask->late,
-		.end_us = time_of(ask->left_ms, now_us),
-		.soft_deadline_us = time_of(ask->aim_ms, now_us),
+		.end_us = time_from_remaining(ask->left_ms, now_us),
+		.soft_deadline_us = time_from_remaining(ask->aim_ms, now_us),
 		.wait_us = (uint64_t)ask->wait_ms * 1000,
 	};
 	const struct comet_instance *instance =
@@ -220,7 +225,7 @@
 	gateway->counts.answered++;
 	if (instance == NULL)
 		return 0;
-	count_grant(gateway, ask->asker, instance, ask->prompt_tokens);
+	record_grant(gateway, ask->asker, instance, ask->prompt_tokens);
 	return instance->key;
 }
 
@@ -230,23 +235,24 @@
 {
 	struct comet_gateway *gateway = ctx;
 
-	count_grant(gateway, ask->asker, instance, ask->job.prompt_tokens);
+	record_grant(gateway, ask->asker, instance, ask->job.prompt_tokens);
 	comet_grants_grant(gateway->grants, ask->asker, ask->number, instance->key);
 }
 
-/* Takes another VM's word for how a slot's request ended. A keeper that did not know of crashed
- * endpoints would go on granting their slots, which look free, to one VM after the other. */
+/* Applies the result that another VM reported for a slot. Without it, the owner would go on
+ * granting the slots of a crashed endpoint, which look free, to one VM after another. */
 static void
-learn_result(struct comet_instance *instance, enum comet_dispatch_result result, uint64_t now_us)
+apply_remote_result(
+	struct comet_instance *instance, enum comet_dispatch_result result, uint64_t now_us)
 {
 	if (comet_instance_remote_result(instance, result, now_us))
-		comet_log(COMET_LOG_INFO, "event=endpoint_%s endpoint=%s result=%s told=1",
+		comet_log(COMET_LOG_INFO, "event=endpoint_%s endpoint=%s result=%s remote=1",
 			instance->ejected_until_us != 0 ? "avoided" : "trusted", instance->id,
 			comet_dispatch_result_name(result));
 }
 
 static void
-on_freed(void *ctx, const comet_SlotFreed *freed)
+on_remote_release(void *ctx, const comet_SlotFreed *freed)
 {
 	struct comet_gateway *gateway = ctx;
 	struct comet_instance *instance =
@@ -258,7 +264,7 @@
 	if (instance != NULL)
 	{
 		comet_instance_learn(instance, !freed->plain, freed->taken_us, freed->events);
-		learn_result(instance, comet_grants_result(freed->result), now_us);
+		apply_remote_result(instance, comet_grants_result(freed->result), now_us);
 	}
 	comet_placement_run(gateway->placement, now_us);
 }
@@ -267,9 +273,9 @@
 	.send = send_datagram,
 	.granted = on_granted,
 	.denied = on_denied,
-	.waits = on_waits,
-	.waited = on_waited,
-	.unanswered = on_unanswered,
-	.choose = choose_for,
-	.freed = on_freed,
+	.waits = on_expected_wait,
+	.waited = on_wait_expired,
+	.unanswered = on_owner_unresponsive,
+	.choose = choose_for_remote,
+	.freed = on_remote_release,
 };
--- a/libcometspindle/adapters/gateway/gateway_quota.c
+++ b/libcometspindle/adapters/gateway/gateway_quota.c
@@ -1,75 +1,78 @@
 /*
  * gateway_quota.c
- * one request at a gateway: its charge to its team, and charges of other VMs' requests
+ * charges proxy requests to their teams' quotas, and answers quota requests of other VMs
  */
 #include <libcometspindle/adapters/gateway/proxy_request.h>
 
 #include <libcometspindle/log.h>
 
-/* How often open charges are looked at: a part of the time after which they are given up. */
-#define CHARGES_TICK_US 10000
+/* Interval at which pending quota requests are checked; a fraction of their timeout. */
+#define QUOTA_TICK_US 10000
 
-/* A VM that has just started, and does not know yet how many others spend a team's limit, does not
- * refuse for that limit for this time, in which VMs usually find each other, but looks again so
- * often: after a restart of all, callers would be sent away for what nobody has decided. */
-#define UNDECIDED_US 400000
-#define DECIDE_AGAIN_US 50000
+/* A VM that has just started does not know yet how many others share a team's limit. During this
+ * time, in which VMs usually discover each other, it repeats the check at the interval below rather
+ * than refuse a request. Otherwise requests would be refused after a restart of all VMs although no
+ * owner has decided that the team is over its limit. */
+#define DISCOVERY_WAIT_US 400000
+#define DISCOVERY_RETRY_US 50000
 
-/* VMs that are asked to charge one request: a keeper that is gone, and the next best in its place.
- */
-#define KEEPERS_ASKED_MAX 2
+/* Number of owners that are asked to charge one request: one that may be down, and the VM that
+ * ranks next. */
+#define QUOTA_OWNERS_MAX 2
 
 static void
-on_charges_tick(void *ctx)
+on_quota_tick(void *ctx)
 {
 	struct comet_gateway *gateway = ctx;
 
 	gateway->quota_timer = NULL;
 	if (comet_quota_requests_tick(gateway->charges, comet_timers_now_us()))
 		gateway->quota_timer = comet_timers_add(
-			gateway->timers, gateway, CHARGES_TICK_US, on_charges_tick, gateway);
+			gateway->timers, gateway, QUOTA_TICK_US, on_quota_tick, gateway);
 }
 
-/* Is a VM not to be asked just now? */
-struct mute_query
+/* Context of is_unresponsive(). */
+struct responsiveness_query
 {
 	const struct comet_quota_requests *charges;
 	uint64_t now_us;
 };
 
 static bool
-is_mute(const void *ctx, uint32_t vm)
+is_unresponsive(const void *ctx, uint32_t vm)
 {
-	const struct mute_query *query = ctx;
+	const struct responsiveness_query *query = ctx;
 
 	return comet_quota_requests_is_unresponsive(query->charges, vm, query->now_us);
 }
 
-/* The VM that keeps a team's account, this one or another; 0: nobody that answers. */
+/* Returns the owner of a team's quota, which may be this VM; 0 if no VM is to be asked or none is
+ * responsive. */
 static uint32_t
-keeper_of(const struct comet_gateway *gateway, uint32_t team_id, uint64_t now_us)
+get_quota_owner(const struct comet_gateway *gateway, uint32_t team_id, uint64_t now_us)
 {
-	const struct mute_query query = {gateway->charges, now_us};
+	const struct responsiveness_query query = {gateway->charges, now_us};
 
 	if (!gateway->settings->ask_keepers)
 		return 0;
 	if (gateway->discovering)
-		return comet_gossip_find_seed_owner(gateway->gossip, team_id, is_mute, &query);
+		return comet_gossip_find_seed_owner(
+			gateway->gossip, team_id, is_unresponsive, &query);
 	return comet_gossip_find_responsive_owner(
-		gateway->gossip, team_id, 0, is_mute, &query, now_us);
+		gateway->gossip, team_id, 0, is_unresponsive, &query, now_us);
 }
 
 static void
-refuse_over_limit(struct comet_proxy_request *relay, uint32_t keeper, uint32_t wait_ms)
+refuse_rate_limited(struct comet_proxy_request *relay, uint32_t keeper, uint32_t wait_ms)
 {
 	struct comet_gateway *gateway = relay->gateway;
 	char text[COMET_IPV4_TEXT_BYTES];
 
 	gateway->counts.refused_team++;
 	comet_log(COMET_LOG_INFO,
-		"event=over_limit request=%s team=%s charge=%" G_GUINT64_FORMAT
-		" left=%.0f keeper=%s",
-		relay->id, relay->team->name, relay->charge,
+		"event=rate_limited request=%s team=%s charge=%" G_GUINT64_FORMAT
+		" remaining=%.0f owner=%s",
+		relay->id, relay->team->name, relay->quota_amount,
 		comet_rate_limiter_remaining(
 			gateway->rate_limiter, relay->team->id, comet_timers_now_us()),
 		keeper != 0 ? comet_datagram_socket_format_address(keeper, text) : "-");
@@ -77,61 +80,61 @@
 }
 
 static void
-charge(struct comet_proxy_request *relay);
+charge_quota(struct comet_proxy_request *relay);
 
 static void
-on_decide_again(void *ctx)
+on_quota_retry(void *ctx)
 {
 	struct comet_proxy_request *relay = ctx;
 
-	relay->undecided = NULL;
+	relay->quota_retry_timer = NULL;
 	relay->owners_tried = 0;
-	charge(relay);
+	charge_quota(relay);
 }
 
-/* Decides by what this VM itself knows: as keeper of the account, or by views. */
+/* Decides on this VM, either as the owner of the quota or from the usage that gossip reports. */
 static void
-decide_here(
-	struct comet_proxy_request *relay, enum comet_rate_limiter_source sight, uint64_t now_us)
+decide_locally(
+	struct comet_proxy_request *relay, enum comet_rate_limiter_source source, uint64_t now_us)
 {
 	struct comet_gateway *gateway = relay->gateway;
-	bool wait = gateway->discovering && sight == COMET_RATE_LIMITER_GOSSIP &&
-		    now_us < relay->arrived_us + UNDECIDED_US;
+	bool wait = gateway->discovering && source == COMET_RATE_LIMITER_GOSSIP &&
+		    now_us < relay->arrived_us + DISCOVERY_WAIT_US;
 	uint32_t wait_ms = comet_rate_limiter_spend(gateway->rate_limiter, relay->team->id,
-		relay->route->priority, relay->charge, sight, now_us);
+		relay->route->priority, relay->quota_amount, source, now_us);
 
 	if (wait_ms == 0)
 	{
-		relay->charged = true;
-		relay->admitted(relay, now_us);
+		relay->quota_charged = true;
+		relay->on_admitted(relay, now_us);
 	}
 	else if (wait)
-		relay->undecided = comet_timers_add(
-			gateway->timers, relay, DECIDE_AGAIN_US, on_decide_again, relay);
+		relay->quota_retry_timer = comet_timers_add(
+			gateway->timers, relay, DISCOVERY_RETRY_US, on_quota_retry, relay);
 	else
-		refuse_over_limit(relay, 0, wait_ms);
+		refuse_rate_limited(relay, 0, wait_ms);
 }
 
 static void
-charge(struct comet_proxy_request *relay)
+charge_quota(struct comet_proxy_request *relay)
 {
 	struct comet_gateway *gateway = relay->gateway;
 	uint64_t now_us = comet_timers_now_us();
 
 	if (relay->team == NULL || relay->team->rate_per_s == 0)
 	{
-		relay->admitted(relay, now_us);
+		relay->on_admitted(relay, now_us);
 		return;
 	}
-	uint32_t keeper = keeper_of(gateway, relay->team->id, now_us);
-	if (keeper == 0 || relay->owners_tried >= KEEPERS_ASKED_MAX)
+	uint32_t keeper = get_quota_owner(gateway, relay->team->id, now_us);
+	if (keeper == 0 || relay->owners_tried >= QUOTA_OWNERS_MAX)
 	{
-		decide_here(relay, COMET_RATE_LIMITER_GOSSIP, now_us);
+		decide_locally(relay, COMET_RATE_LIMITER_GOSSIP, now_us);
 		return;
 	}
 	if (keeper == comet_datagram_socket_address(gateway->link))
 	{
-		decide_here(relay, COMET_RATE_LIMITER_OWNER, now_us);
+		decide_locally(relay, COMET_RATE_LIMITER_OWNER, now_us);
 		return;
 	}
 	const struct comet_quota_request wanted = comet_proxy_request_charge_amount(relay);
@@ -140,15 +143,15 @@
 	comet_quota_requests_send(gateway->charges, relay, keeper, &wanted, now_us);
 	if (gateway->quota_timer == NULL)
 		gateway->quota_timer = comet_timers_add(
-			gateway->timers, gateway, CHARGES_TICK_US, on_charges_tick, gateway);
+			gateway->timers, gateway, QUOTA_TICK_US, on_quota_tick, gateway);
 }
 
 void
 comet_proxy_request_charge(struct comet_proxy_request *relay,
-	void (*admitted)(struct comet_proxy_request *relay, uint64_t now_us))
+	void (*on_admitted)(struct comet_proxy_request *relay, uint64_t now_us))
 {
-	relay->admitted = admitted;
-	charge(relay);
+	relay->on_admitted = on_admitted;
+	charge_quota(relay);
 }
 
 static void
@@ -168,30 +171,32 @@
 
 	if (wait_ms != 0)
 	{
-		refuse_over_limit(relay, keeper, wait_ms);
+		refuse_rate_limited(relay, keeper, wait_ms);
 		return;
 	}
-	comet_rate_limiter_charged(gateway->rate_limiter, relay->team->id, relay->charge, now_us);
-	relay->charged = true;
+	comet_rate_limiter_charged(
+		gateway->rate_limiter, relay->team->id, relay->quota_amount, now_us);
+	relay->quota_charged = true;
 	relay->quota_owner_vm = keeper;
-	relay->admitted(relay, now_us);
+	relay->on_admitted(relay, now_us);
 }
 
 static void
-on_undecided(void *ctx, void *owner, uint32_t keeper)
+on_quota_request_failed(void *ctx, void *owner, uint32_t keeper)
 {
 	struct comet_gateway *gateway = ctx;
 	struct comet_proxy_request *relay = owner;
 	char text[COMET_IPV4_TEXT_BYTES];
 
 	gateway->counts.charges_undecided++;
-	comet_log(COMET_LOG_INFO, "event=charge_undecided request=%s team=%s vm=%s", relay->id,
+	comet_log(COMET_LOG_INFO, "event=quota_request_failed request=%s team=%s vm=%s", relay->id,
 		relay->team->name, comet_datagram_socket_format_address(keeper, text));
-	charge(relay);
+	charge_quota(relay);
 }
 
 static bool
-on_charge(void *ctx, uint32_t asker, const struct comet_quota_request *charge, uint32_t *wait_ms)
+on_remote_charge(
+	void *ctx, uint32_t asker, const struct comet_quota_request *charge, uint32_t *wait_ms)
 {
 	struct comet_gateway *gateway = ctx;
 
@@ -201,7 +206,7 @@
 }
 
 static void
-on_returned(void *ctx, uint32_t asker, const struct comet_quota_request *charge)
+on_remote_refund(void *ctx, uint32_t asker, const struct comet_quota_request *charge)
 {
 	struct comet_gateway *gateway = ctx;
 
@@ -212,7 +217,7 @@
 const struct comet_quota_requests_ops comet_gateway_quota_ops = {
 	.send = send_datagram,
 	.decided = on_decided,
-	.undecided = on_undecided,
-	.charge = on_charge,
-	.returned = on_returned,
+	.undecided = on_quota_request_failed,
+	.charge = on_remote_charge,
+	.returned = on_remote_refund,
 };
--- a/libcometspindle/adapters/gateway/gateway_send.c
+++ b/libcometspindle/adapters/gateway/gateway_send.c
@@ -1,6 +1,6 @@
 /*
  * gateway_send.c
- * one request at a gateway: its sendings to endpoints
+ * attempts of a proxy request: sending, silence timeouts and retries
  */
 #include <libcometspindle/adapters/gateway/proxy_request.h>
 
@@ -9,12 +9,11 @@
 #include <string.h>
 #include <talloc.h>
 
-/* An endpoint is silent after so many times its expected time, and at least the time below: a
- * lost packet is repeated within a quarter of a second. */
-#define SILENT_FACTOR 4
-#define SILENT_MIN_US 600000
+/* An endpoint counts as silent after this multiple of the expected time to the first byte, and not
+ * before the minimum below: a lost packet is retransmitted within a quarter of a second. */
+#define SILENCE_FACTOR 4
+#define SILENCE_MIN_US 600000
 
-/* May this request be sent once more, after it may have run? */
 bool
 comet_proxy_request_may_retry(struct comet_proxy_request *relay)
 {
@@ -23,20 +22,19 @@
 
 	if (relay->may_have_run && !comet_route_is_retryable(relay->route))
 		return false;
-	/* Endpoints that fall silent are known to have crashed seconds later, in which a request
-	 * would go on to others. */
+	/* The crash of a silent endpoint is confirmed only seconds later. The request must not be
+	 * sent to further endpoints in that time. */
 	if (comet_proxy_request_is_quarantined(relay) ||
 		comet_crash_tracker_is_undecided(
 			gateway->crash_tracker, &relay->fingerprint, now_us))
 		return false;
-	if (relay->attempts >= MAX(relay->route->max_attempts, 1) || now_us >= relay->end_us)
+	if (relay->attempts >= MAX(relay->route->max_attempts, 1) || now_us >= relay->deadline_us)
 		return false;
 	if (relay->attempts == 0)
 		return true;
 	return comet_retry_budget_take(gateway->retries, relay->service, now_us);
 }
 
-/* Places the request again. */
 void
 comet_proxy_request_retry(struct comet_proxy_request *relay, const char *reason)
 {
@@ -45,30 +43,31 @@
 
 	gateway->counts.repeated++;
 	comet_log(COMET_LOG_INFO,
-		"event=repeated request=%s reason=%s attempts=%u events=%u "
+		"event=retried request=%s reason=%s attempts=%u events=%u "
 		"unfinished_bytes=%" G_GUINT64_FORMAT,
 		relay->id, reason, relay->attempts, comet_proxy_request_events(relay),
 		relay->unfinished_bytes);
 	if (!comet_placement_has_untried(gateway->placement, &relay->item))
 	{
-		relay->item.n_tried = 0; /* the only one there is may take it again */
-		relay->allow_tried = true;
+		relay->item.n_tried = 0; /* all endpoints have been tried: allow them again */
+		relay->retry_same_endpoint = true;
 	}
 	relay->item.dispatch_deadline_us =
-		MAX(relay->item.dispatch_deadline_us, now_us + (relay->end_us - now_us) / 2);
-	if (relay->started) /* what counts now is the pause that its reader sees */
+		MAX(relay->item.dispatch_deadline_us, now_us + (relay->deadline_us - now_us) / 2);
+	/* Once the response has started, the relevant latency is the gap that the caller sees. */
+	if (relay->response_started)
 		relay->item.soft_deadline_us = now_us + (uint64_t)relay->route->gap_ms * 1000;
 	comet_placement_submit(gateway->placement, &relay->item, now_us);
 }
 
-/* Writes the request as the endpoint is to get it. */
+/* Writes the request that is sent to the endpoint. */
 static GString *
 write_request(
 	struct comet_proxy_request *relay, const struct comet_instance *instance, uint64_t now_us)
 {
 	const GByteArray *body = relay->request->body;
 	struct comet_forward_params forward = {
-		.left_ms = MAX((relay->end_us - now_us) / 1000, 1),
+		.left_ms = MAX((relay->deadline_us - now_us) / 1000, 1),
 		.instance = instance->id,
 		.team = relay->team != NULL ? relay->team->name : NULL,
 		.last_event = relay->resuming ? comet_event_stream_last_id(relay->events) : NULL,
@@ -81,76 +80,77 @@
 	return out;
 }
 
-/* Can another run follow this one? What a caller has begun to read is followed only by the rest of
- * a stream whose events have ids: anything else would join two runs. */
+/* Returns whether the response may be completed by another attempt. A response that was started can
+ * only be resumed if it is a stream whose events have ids. Otherwise the caller would receive the
+ * output of two runs as one response. */
 static bool
-can_be_followed(const struct comet_proxy_request *relay)
+can_be_continued(const struct comet_proxy_request *relay)
 {
-	if (!relay->started)
+	if (!relay->response_started)
 		return true;
 	return comet_proxy_request_is_stream(relay) &&
 	       comet_event_stream_last_id(relay->events) != NULL;
 }
 
-/* When the endpoint was last heard, as far as its silence goes. While its caller is slow it is not
- * read; and what lies unread came while this process was stopped, after which sound endpoints
- * counted as silent. */
+/* Returns the time of the endpoint's last activity for the silence timeout. The endpoint is not
+ * silent while reading is paused for a slow caller, nor while received data has not been read yet:
+ * after this process had been stopped, healthy endpoints with unread data counted as silent. */
 static uint64_t
-last_word_us(const struct comet_proxy_request *relay, uint64_t now_us)
+last_activity_us(const struct comet_proxy_request *relay, uint64_t now_us)
 {
-	if (relay->paused || comet_exchange_has_pending_events(relay->exchange))
+	if (relay->upstream_paused || comet_exchange_has_pending_events(relay->exchange))
 		return now_us;
 	return MAX(relay->sent_us, relay->last_us);
 }
 
-/* No word for longer than there should be. */
 static void
-on_silence(void *ctx)
+on_silence_timeout(void *ctx)
 {
 	struct comet_proxy_request *relay = ctx;
 	uint64_t now_us = comet_timers_now_us();
-	uint64_t last_us = last_word_us(relay, now_us);
+	uint64_t last_us = last_activity_us(relay, now_us);
 
-	relay->silence = NULL;
-	if (now_us - last_us < relay->silent_after_us)
+	relay->silence_timer = NULL;
+	if (now_us - last_us < relay->silence_timeout_us)
 	{
-		relay->silence = comet_timers_add(relay->gateway->timers, relay,
-			relay->silent_after_us - (now_us - last_us), on_silence, relay);
+		relay->silence_timer = comet_timers_add(relay->gateway->timers, relay,
+			relay->silence_timeout_us - (now_us - last_us), on_silence_timeout, relay);
 		return;
 	}
 	struct comet_instance *instance = comet_proxy_request_instance(relay);
-	bool doubted =
+	bool ejected =
 		instance != NULL && comet_instance_eject_if_silent(instance, last_us, now_us);
 	comet_log(COMET_LOG_NOTICE,
 		"event=silent request=%s endpoint=%s silent_ms=%" G_GUINT64_FORMAT
-		" doubted=%d events=%u body_bytes=%" G_GUINT64_FORMAT,
-		relay->id, relay->instance, comet_proxy_request_elapsed_ms(last_us, now_us),
-		doubted, comet_proxy_request_events(relay), relay->body_bytes);
-	if (!comet_route_is_retryable(relay->route) || !can_be_followed(relay) ||
+		" ejected=%d events=%u body_bytes=%" G_GUINT64_FORMAT,
+		relay->id, relay->instance_id, comet_proxy_request_elapsed_ms(last_us, now_us),
+		ejected, comet_proxy_request_events(relay), relay->attempt_body_bytes);
+	if (!comet_route_is_retryable(relay->route) || !can_be_continued(relay) ||
 		!comet_proxy_request_may_retry(relay))
-		return; /* all that is left is to wait */
+		return; /* keep waiting for this endpoint */
 	relay->may_have_run = true;
 	comet_proxy_request_end_attempt(relay, COMET_DISPATCH_SILENT);
-	relay->resuming = relay->started;
+	relay->resuming = relay->response_started;
 	comet_proxy_request_retry(relay, "silent");
 }
 
 static void
-watch_silence(
+start_silence_timer(
 	struct comet_proxy_request *relay, const struct comet_instance *instance, uint64_t now_us)
 {
 	uint64_t first_us = 0;
 	uint64_t total_us = 0;
 
 	comet_instance_estimate(instance, &relay->item.job, now_us, &first_us, &total_us);
-	relay->silent_after_us = MAX(SILENT_FACTOR * first_us, SILENT_MIN_US);
-	relay->silence = comet_timers_add(
-		relay->gateway->timers, relay, relay->silent_after_us, on_silence, relay);
+	relay->silence_timeout_us = MAX(SILENCE_FACTOR * first_us, SILENCE_MIN_US);
+	relay->silence_timer = comet_timers_add(relay->gateway->timers, relay,
+		relay->silence_timeout_us, on_silence_timeout, relay);
 }
 
-/* A request that an ended process had waits for nothing: probed, its connection breaks within two
- * seconds, else one that may not be repeated is held until its caller's time is over. One that the
- * new process took before this VM knew of it goes on, since its connection stands. */
+/* A process that has ended does not answer. Probing breaks the connection within two seconds;
+ * otherwise a request that may not be retried would wait until its deadline. An attempt that the
+ * new process accepted before this VM knew of the restart continues, since its connection is
+ * intact. */
 void
 comet_proxy_request_probe_previous_incarnation(
 	struct comet_gateway *gateway, const char *id, uint64_t process_start_ms)
@@ -158,7 +158,8 @@
 	for (GList *at = gateway->active_attempts.head; at != NULL; at = at->next)
 	{
 		const struct comet_proxy_request *relay = at->data;
-		if (relay->process_start_ms == process_start_ms || strcmp(relay->instance, id) != 0)
+		if (relay->process_start_ms == process_start_ms ||
+			strcmp(relay->instance_id, id) != 0)
 			continue;
 		comet_log(COMET_LOG_INFO,
 			"event=probed request=%s endpoint=%s born=%" G_GUINT64_FORMAT, relay->id,
@@ -167,20 +168,19 @@
 	}
 }
 
-/* A sending failed in a way that may have run the request. */
 void
 comet_proxy_request_attempt_failed(
 	struct comet_proxy_request *relay, enum comet_dispatch_result result)
 {
 	relay->may_have_run = true;
 	comet_log(COMET_LOG_NOTICE,
-		"event=sending_failed request=%s endpoint=%s result=%s status=%u events=%u "
+		"event=attempt_failed request=%s endpoint=%s result=%s status=%u events=%u "
 		"body_bytes=%" G_GUINT64_FORMAT,
-		relay->id, relay->instance, comet_dispatch_result_name(result),
+		relay->id, relay->instance_id, comet_dispatch_result_name(result),
 		relay->head != NULL ? relay->head->status : 0, comet_proxy_request_events(relay),
-		relay->body_bytes);
+		relay->attempt_body_bytes);
 	comet_proxy_request_end_attempt(relay, result);
-	if (!can_be_followed(relay))
+	if (!can_be_continued(relay))
 	{
 		comet_proxy_request_abort(relay, "endpoint_broke");
 		return;
@@ -190,37 +190,37 @@
 		comet_proxy_request_fail(relay, 502, "endpoint_broke");
 		return;
 	}
-	relay->resuming = relay->started;
+	relay->resuming = relay->response_started;
 	comet_proxy_request_retry(relay, "endpoint_broke");
 }
 
-/* The endpoint said that it has not run it. */
 void
 comet_proxy_request_attempt_refused(struct comet_proxy_request *relay)
 {
-	bool wrong = relay->head->status == 421;
-	const char *told = comet_http_head_get(relay->head, "Retry-After");
+	bool wrong_instance = relay->head->status == 421;
+	const char *retry_after = comet_http_head_get(relay->head, "Retry-After");
 	uint32_t retry_after_ms = 0;
 
-	if (told != NULL && !comet_header_parse_seconds(told, &retry_after_ms))
+	if (retry_after != NULL && !comet_header_parse_seconds(retry_after, &retry_after_ms))
 		comet_log(COMET_LOG_NOTICE,
 			"event=header_ignored request=%s endpoint=%s header=Retry-After", relay->id,
-			relay->instance);
+			relay->instance_id);
 	comet_log(COMET_LOG_INFO,
 		"event=endpoint_refused request=%s endpoint=%s status=%u "
 		"body_bytes=%" G_GUINT64_FORMAT,
-		relay->id, relay->instance, relay->head->status, relay->body_bytes);
+		relay->id, relay->instance_id, relay->head->status, relay->attempt_body_bytes);
 	comet_proxy_request_end_attempt(
-		relay, wrong ? COMET_DISPATCH_WRONG_INSTANCE : COMET_DISPATCH_REFUSED);
+		relay, wrong_instance ? COMET_DISPATCH_WRONG_INSTANCE : COMET_DISPATCH_REFUSED);
 	if (comet_proxy_request_may_retry(relay))
-		comet_proxy_request_retry(relay, wrong ? "wrong_instance" : "endpoint_full");
-	else if (relay->started)
+		comet_proxy_request_retry(
+			relay, wrong_instance ? "wrong_instance" : "endpoint_full");
+	else if (relay->response_started)
 		comet_proxy_request_abort(relay, "endpoint_full");
 	else
 		comet_proxy_request_refuse(relay, "endpoint_full", MAX(retry_after_ms, 200));
 }
 
-/* Placement has chosen: sends the request. */
+/* Sends the request to the endpoint that placement has selected. */
 static void
 on_dispatch(void *ctx, struct comet_placement_item *item, struct comet_instance *instance)
 {
@@ -239,14 +239,15 @@
 		.id_header = gateway->names->request_id,
 		.id = relay->id,
 		.head_only = strcmp(relay->request->head->method, "HEAD") == 0,
-		.new_connection = relay->allow_tried,
+		.new_connection = relay->retry_same_endpoint,
 		.counted = &gateway->bytes[COMET_GATEWAY_USE_ENDPOINTS],
 	};
 
 	comet_log(COMET_LOG_INFO,
 		"event=sent request=%s endpoint=%s load=%u slots=%u candidates=%u with_room=%u "
 		"waited_ms=%" G_GUINT64_FORMAT " expect_first_ms=%" G_GUINT64_FORMAT
-		" view_age_ms=%" G_GUINT64_FORMAT " pace=%.2f attempt=%u after_events=%u keeper=%s",
+		" view_age_ms=%" G_GUINT64_FORMAT
+		" relative_latency=%.2f attempt=%u after_events=%u owner=%s",
 		relay->id, instance->id, reason->load, reason->slots, reason->candidates,
 		reason->with_room, reason->waited_us / 1000, reason->first_us / 1000,
 		reason->view_age_us / 1000, instance->pace, relay->attempts + 1,
@@ -263,21 +264,21 @@
 	gateway->counts.dispatched++;
 	relay->attempts++;
 	relay->not_run = false;
-	relay->paused = false;
+	relay->upstream_paused = false;
 	relay->sent_us = now_us;
-	relay->first_us = 0;
+	relay->first_byte_us = 0;
 	relay->last_us = 0;
-	relay->body_bytes = 0;
-	relay->first_count = comet_proxy_request_events(relay);
-	relay->instance = talloc_strdup(relay, instance->id);
+	relay->attempt_body_bytes = 0;
+	relay->prior_events = comet_proxy_request_events(relay);
+	relay->instance_id = talloc_strdup(relay, instance->id);
 	relay->process_start_ms = instance->process_start_ms;
 	relay->incarnation_key = instance->key;
 	g_queue_push_tail(&gateway->active_attempts, relay);
-	relay->attempt = g_queue_peek_tail_link(&gateway->active_attempts);
+	relay->attempt_link = g_queue_peek_tail_link(&gateway->active_attempts);
 	comet_instance_started(instance, &item->job);
 	relay->exchange = comet_upstream_send(
 		gateway->upstream, relay, &attempt, &comet_proxy_request_response_events, relay);
-	watch_silence(relay, instance, now_us);
+	start_silence_timer(relay, instance, now_us);
 	g_string_free(bytes, TRUE);
 }
 
@@ -288,7 +289,7 @@
 	struct comet_proxy_request *relay = item->owner;
 	bool evacuated = comet_placement_is_evacuated(gateway->placement, item);
 
-	if (relay->started)
+	if (relay->response_started)
 		comet_proxy_request_abort(relay, "no_endpoint");
 	else
 		comet_proxy_request_refuse(
--- a/libcometspindle/adapters/gateway/proxy_request.c
+++ b/libcometspindle/adapters/gateway/proxy_request.c
@@ -1,6 +1,6 @@
 /*
  * proxy_request.c
- * one request at a gateway: how it ends
+ * the end of a proxy request: response, refusal, failure or disconnected caller
  */
 #include <libcometspindle/adapters/gateway/gateway_crashes.h>
 
@@ -8,14 +8,14 @@
 #include <string.h>
 #include <talloc.h>
 
-/* Tells the keeper of the slot that it is free, and how fast a whole answer was. */
+/* Releases the slot at its owner, and reports the service time of a complete response. */
 static void
 release_slot(struct comet_proxy_request *relay, enum comet_dispatch_result result, uint32_t events)
 {
-	bool whole = result == COMET_DISPATCH_SERVED && relay->first_us != 0 &&
+	bool whole = result == COMET_DISPATCH_SERVED && relay->first_byte_us != 0 &&
 		     comet_proxy_request_timing_is_valid(relay);
 	bool stream = comet_proxy_request_is_stream(relay);
-	uint64_t begun_us = stream ? relay->first_us : relay->sent_us;
+	uint64_t begun_us = stream ? relay->first_byte_us : relay->sent_us;
 	const struct comet_grants_completion end = {
 		.result = result,
 		.stream = stream,
@@ -30,19 +30,18 @@
 	relay->item.keeper = 0;
 }
 
-/* Nothing that a run sent and that has not gone on to the caller outlives it: the next run's bytes
- * were put behind an event that a silent endpoint had left unfinished, and both went on as one
- * event. */
+/* Discards the output of this attempt that was not forwarded. Otherwise the bytes of the next
+ * attempt would be appended to an incomplete event, and the caller would receive both as one event.
+ */
 static void
-drop_unsent(struct comet_proxy_request *relay)
+discard_unsent_output(struct comet_proxy_request *relay)
 {
 	relay->unfinished_bytes = 0;
 	if (relay->events != NULL)
 		relay->unfinished_bytes = comet_event_stream_restart(relay->events);
-	g_byte_array_set_size(relay->answer, 0);
+	g_byte_array_set_size(relay->buffered_body, 0);
 }
 
-/* Ends what is under way at an endpoint, and tells what became of it. */
 void
 comet_proxy_request_end_attempt(
 	struct comet_proxy_request *relay, enum comet_dispatch_result result)
@@ -50,19 +49,19 @@
 	struct comet_gateway *gateway = relay->gateway;
 	struct comet_instance *instance = comet_proxy_request_instance(relay);
 	uint64_t now_us = comet_timers_now_us();
-	uint32_t events = comet_proxy_request_events(relay) - relay->first_count;
+	uint32_t events = comet_proxy_request_events(relay) - relay->prior_events;
 
-	comet_timer_cancel(&relay->silence);
+	comet_timer_cancel(&relay->silence_timer);
 	comet_gateway_attempt_ending(relay, result);
 	if (instance != NULL)
 	{
 		uint64_t taken_us = comet_proxy_request_is_stream(relay)
-					    ? relay->last_us - relay->first_us
+					    ? relay->last_us - relay->first_byte_us
 					    : now_us - relay->sent_us;
 		if (!comet_proxy_request_timing_is_valid(relay))
 			taken_us = COMET_INSTANCE_UNMEASURED;
-		if (comet_instance_ended(instance, &relay->item.job, relay->first_us != 0, result,
-			    taken_us, events, now_us))
+		if (comet_instance_ended(instance, &relay->item.job, relay->first_byte_us != 0,
+			    result, taken_us, events, now_us))
 			comet_log(COMET_LOG_NOTICE,
 				"event=endpoint_%s endpoint=%s result=%s failures=%u "
 				"error_rate=%.2f",
@@ -72,16 +71,15 @@
 		comet_placement_slot_released(gateway->placement, instance);
 	}
 	release_slot(relay, result, events);
-	drop_unsent(relay);
-	g_queue_delete_link(&gateway->active_attempts, relay->attempt);
-	relay->attempt = NULL;
-	TALLOC_FREE(relay->instance);
+	discard_unsent_output(relay);
+	g_queue_delete_link(&gateway->active_attempts, relay->attempt_link);
+	relay->attempt_link = NULL;
+	TALLOC_FREE(relay->instance_id);
 	TALLOC_FREE(relay->exchange);
 	TALLOC_FREE(relay->head);
-	relay->first_us = 0;
+	relay->first_byte_us = 0;
 }
 
-/* The request is over; the caller has its answer, or is gone. */
 void
 comet_proxy_request_close(struct comet_proxy_request *relay)
 {
@@ -107,16 +105,16 @@
 	comet_counter_set_add(relay->gateway->ends, labels);
 }
 
-/* Answers with an error of our own, with further headers and a text. Frees it. */
+/* Answers with an error of the gateway, with these headers and text, and frees the request. */
 static void
-answer_error(struct comet_proxy_request *relay, unsigned int status, const char *reason,
+respond_error(struct comet_proxy_request *relay, unsigned int status, const char *reason,
 	uint32_t retry_after_ms, const char *headers, const char *text)
 {
 	struct comet_http_server_request *request = relay->request;
 
 	comet_log(COMET_LOG_NOTICE,
 		"event=refused request=%s status=%u reason=%s retry_after_ms=%u "
-		"held_ms=%" G_GUINT64_FORMAT " attempts=%u",
+		"elapsed_ms=%" G_GUINT64_FORMAT " attempts=%u",
 		relay->id, status, reason, retry_after_ms,
 		comet_proxy_request_elapsed_ms(relay->arrived_us, comet_timers_now_us()),
 		relay->attempts);
@@ -135,42 +133,41 @@
 	if (retry_after_ms > 0)
 		g_snprintf(headers, sizeof headers, "Retry-After: %u.%03u\r\n",
 			retry_after_ms / 1000, retry_after_ms % 1000);
-	answer_error(relay, status, reason, retry_after_ms, headers, "");
+	respond_error(relay, status, reason, retry_after_ms, headers, "");
 }
 
-/* It was not run: what it was charged comes back to its team. */
+/* Refunds the team's quota for a request that was not run. */
 static void
-give_back_charge(struct comet_proxy_request *relay)
+refund_quota(struct comet_proxy_request *relay)
 {
 	struct comet_gateway *gateway = relay->gateway;
 
-	if (!relay->charged)
+	if (!relay->quota_charged)
 		return;
-	relay->charged = false;
+	relay->quota_charged = false;
 	comet_rate_limiter_refund(
-		gateway->rate_limiter, relay->team->id, relay->charge, comet_timers_now_us());
+		gateway->rate_limiter, relay->team->id, relay->quota_amount, comet_timers_now_us());
 	if (relay->quota_owner_vm == 0)
 		return;
 	const struct comet_quota_request charge = comet_proxy_request_charge_amount(relay);
 	comet_quota_requests_refund(gateway->charges, relay->quota_owner_vm, &charge);
 }
 
-/* 400 is what callers do not repeat. 503 asks them to come back, and after 502 some try once more
- * at once. */
+/* The status is 400 because callers do not retry it. 503 asks callers to retry later, and some
+ * callers retry immediately after 502. */
 void
 comet_proxy_request_refuse_quarantined(struct comet_proxy_request *relay)
 {
 	comet_log(COMET_LOG_INFO,
-		"event=request_is_barred request=%s fingerprint=%016" G_GINT64_MODIFIER "x",
+		"event=request_quarantined request=%s fingerprint=%016" G_GINT64_MODIFIER "x",
 		relay->id, relay->fingerprint.digest);
 	relay->gateway->counts.refused_crashing++;
 	if (!relay->may_have_run)
-		give_back_charge(relay);
-	answer_error(relay, 400, "crashes_endpoints", 0, "Content-Type: text/plain\r\n",
+		refund_quota(relay);
+	respond_error(relay, 400, "crashes_endpoints", 0, "Content-Type: text/plain\r\n",
 		"Endpoints crashed when they ran this request. It is not sent to any more.\n");
 }
 
-/* It was not run and will not be: says so, and gives back what it was charged. */
 void
 comet_proxy_request_refuse(
 	struct comet_proxy_request *relay, const char *reason, uint32_t retry_after_ms)
@@ -189,11 +186,10 @@
 		return;
 	}
 	gateway->counts.refused_early++;
-	give_back_charge(relay);
+	refund_quota(relay);
 	comet_proxy_request_respond_error(relay, 503, reason, retry_after_ms);
 }
 
-/* The answer cannot be finished: the caller must see that. */
 void
 comet_proxy_request_abort(struct comet_proxy_request *relay, const char *reason)
 {
@@ -201,7 +197,7 @@
 
 	relay->gateway->counts.cut++;
 	comet_log(COMET_LOG_NOTICE,
-		"event=cut request=%s reason=%s held_ms=%" G_GUINT64_FORMAT
+		"event=cut request=%s reason=%s elapsed_ms=%" G_GUINT64_FORMAT
 		" events=%u attempts=%u unsent_bytes=%zu",
 		relay->id, reason,
 		comet_proxy_request_elapsed_ms(relay->arrived_us, comet_timers_now_us()),
@@ -213,11 +209,10 @@
 	comet_http_server_abort_response(request);
 }
 
-/* Gives up with what is true: cut, may have run, or not run. */
 void
 comet_proxy_request_fail(struct comet_proxy_request *relay, unsigned int status, const char *reason)
 {
-	if (relay->started)
+	if (relay->response_started)
 	{
 		comet_proxy_request_abort(relay, reason);
 		return;
@@ -244,15 +239,15 @@
 	{
 		struct comet_proxy_request *relay = at->data;
 		at = at->next;
-		if (relay->attempt != NULL || !comet_proxy_request_is_quarantined(relay))
+		if (relay->attempt_link != NULL || !comet_proxy_request_is_quarantined(relay))
 			continue;
 		comet_proxy_request_fail(relay, 502, "crashes_endpoints");
-		at = gateway->relays.head; /* others may have ended with it */
+		at = gateway->relays.head; /* the call may have ended other requests too */
 	}
 }
 
 static void
-on_gone(void *ctx, struct comet_http_server_request *request)
+on_caller_disconnected(void *ctx, struct comet_http_server_request *request)
 {
 	struct comet_gateway *gateway = ctx;
 	struct comet_proxy_request *relay = request->user;
@@ -261,28 +256,31 @@
 		return;
 	gateway->counts.left++;
 	comet_log(COMET_LOG_INFO,
-		"event=caller_left request=%s endpoint=%s held_ms=%" G_GUINT64_FORMAT " started=%d",
-		relay->id, relay->instance != NULL ? relay->instance : "-",
+		"event=caller_left request=%s endpoint=%s elapsed_ms=%" G_GUINT64_FORMAT
+		" started=%d",
+		relay->id, relay->instance_id != NULL ? relay->instance_id : "-",
 		comet_proxy_request_elapsed_ms(relay->arrived_us, comet_timers_now_us()),
-		relay->started);
-	if (relay->instance != NULL)
+		relay->response_started);
+	if (relay->instance_id != NULL)
 		comet_proxy_request_end_attempt(relay, COMET_DISPATCH_CANCELLED);
 	comet_proxy_request_count_end(relay, "caller_left");
 	comet_proxy_request_close(relay);
 }
 
 static void
-on_drained(void *ctx, struct comet_http_server_request *request)
+on_caller_drained(void *ctx, struct comet_http_server_request *request)
 {
 	struct comet_proxy_request *relay = request->user;
 
 	(void)ctx;
-	if (relay == NULL || !relay->paused || relay->exchange == NULL)
+	if (relay == NULL || !relay->upstream_paused || relay->exchange == NULL)
 		return;
-	relay->paused = false;
-	relay->last_us = comet_timers_now_us(); /* no silence of the endpoint's until here */
+	relay->upstream_paused = false;
+	relay->last_us = comet_timers_now_us(); /* the pause does not count as silence */
 	comet_exchange_pause(relay->exchange, false);
 }
 
 const struct comet_http_server_events comet_gateway_caller_events = {
-	.request = comet_proxy_request_handle, .gone = on_gone, .drained = on_drained};
+	.request = comet_proxy_request_handle,
+	.gone = on_caller_disconnected,
+	.drained = on_caller_drained};
--- a/libcometspindle/adapters/gateway/proxy_request_state.c
+++ b/libcometspindle/adapters/gateway/proxy_request_state.c
@@ -1,6 +1,6 @@
 /*
  * proxy_request_state.c
- * one request at a gateway: what can be told of it at any time
+ * queries on a proxy request that do not change its state
  */
 #include <libcometspindle/adapters/gateway/proxy_request.h>
 
@@ -13,10 +13,10 @@
 struct comet_instance *
 comet_proxy_request_instance(const struct comet_proxy_request *relay)
 {
-	if (relay->instance == NULL)
+	if (relay->instance_id == NULL)
 		return NULL;
 	struct comet_instance *instance =
-		comet_instances_find(relay->gateway->instances, relay->instance);
+		comet_instances_find(relay->gateway->instances, relay->instance_id);
 	return instance != NULL && instance->process_start_ms == relay->process_start_ms ? instance
 											 : NULL;
 }
@@ -49,5 +49,6 @@
 struct comet_quota_request
 comet_proxy_request_charge_amount(const struct comet_proxy_request *relay)
 {
-	return (struct comet_quota_request){relay->team->id, relay->route->priority, relay->charge};
+	return (struct comet_quota_request){
+		relay->team->id, relay->route->priority, relay->quota_amount};
 }
