--- a/libcometspindle/gateway/admission/crash_suspects.c
+++ b/libcometspindle/gateway/admission/crash_suspects.c
@@ -72,7 +72,7 @@
 }
 
 bool
-comet_crash_suspects_has_ended(const struct comet_crash_suspects *crash_suspects,
+comet_crash_suspects_has_crashed(const struct comet_crash_suspects *crash_suspects,
 	uint32_t incarnation_key, uint64_t last_seen_us)
 {
 	for (size_t i = 0; i < CRASHED_PROCESSES_MAX; i++)
--- a/libcometspindle/gateway/admission/crash_suspects.h
+++ b/libcometspindle/gateway/admission/crash_suspects.h
@@ -26,7 +26,7 @@
 
 /** @return whether a crash of the incarnation was recorded at or after last_seen_us. */
 bool
-comet_crash_suspects_has_ended(const struct comet_crash_suspects *crash_suspects,
+comet_crash_suspects_has_crashed(const struct comet_crash_suspects *crash_suspects,
 	uint32_t incarnation_key, uint64_t last_seen_us);
 
 /**
--- a/libcometspindle/gateway/admission/crash_tracker.c
+++ b/libcometspindle/gateway/admission/crash_tracker.c
@@ -329,7 +329,7 @@
 comet_crash_tracker_add_suspect(struct comet_crash_tracker *crash_tracker,
 	const struct comet_crash_tracker_run *run, uint64_t now_us)
 {
-	if (comet_crash_suspects_has_ended(
+	if (comet_crash_suspects_has_crashed(
 		    crash_tracker->crash_suspects, run->incarnation_key, run->last_seen_us))
 		add_crash(crash_tracker, &run->request, run->incarnation_key, now_us);
 	else
--- a/libcometspindle/gateway/admission/rate_limiter.c
+++ b/libcometspindle/gateway/admission/rate_limiter.c
@@ -72,7 +72,7 @@
 	struct comet_rate_limiter_config config;
 	GHashTable *quotas; /* team id -> struct quota */
 	uint64_t started_us;
-	uint32_t peak_alive_vms;
+	uint32_t alive_vms;
 	uint32_t known_vms;
 	/* When the first of the unreachable VMs was last seen; 0: all are alive. */
 	uint64_t partitioned_since_us;
@@ -101,7 +101,7 @@
 	struct comet_rate_limiter *rate_limiter = talloc_zero(parent, struct comet_rate_limiter);
 
 	rate_limiter->config = *config;
-	rate_limiter->peak_alive_vms = 1;
+	rate_limiter->alive_vms = 1;
 	rate_limiter->known_vms = 1;
 	rate_limiter->started_us = now_us;
 	rate_limiter->quotas = g_hash_table_new_full(NULL, NULL, NULL, free_quota);
@@ -250,7 +250,7 @@
 comet_rate_limiter_set_vms(struct comet_rate_limiter *rate_limiter, uint32_t heard, uint32_t known,
 	uint64_t partitioned_since_us)
 {
-	rate_limiter->peak_alive_vms = heard;
+	rate_limiter->alive_vms = heard;
 	rate_limiter->known_vms = MAX(known, 1);
 	rate_limiter->partitioned_since_us = partitioned_since_us;
 }
@@ -259,7 +259,7 @@
 static double
 alive_share(const struct comet_rate_limiter *rate_limiter)
 {
-	return (double)rate_limiter->peak_alive_vms / rate_limiter->known_vms;
+	return (double)rate_limiter->alive_vms / rate_limiter->known_vms;
 }
 
 /* Known and assumed spending in the current window. */
@@ -298,7 +298,7 @@
 	if (share < 1)
 		available += (1 - share) * spent_before_partition(rate_limiter, quota);
 	if (source == COMET_RATE_LIMITER_GOSSIP)
-		available -= quota->unreported * (rate_limiter->peak_alive_vms - 1);
+		available -= quota->unreported * (rate_limiter->alive_vms - 1);
 	return available;
 }
 
@@ -358,7 +358,7 @@
 {
 	double max_amount = MAX(quota->typical_amount, 1);
 
-	return rate_limiter->peak_alive_vms == 1 && rate_limiter->known_vms > 1 &&
+	return rate_limiter->alive_vms == 1 && rate_limiter->known_vms > 1 &&
 	       sum_slices(quota->own_spent) + MIN(amount, max_amount) <= max_amount &&
 	       spent_in_window(quota) <= ISOLATED_SPENT_RATIO_MAX * quota->limit;
 }
