--- a/libcometspindle/gateway/messages/datagram.c
+++ b/libcometspindle/gateway/messages/datagram.c
@@ -1,6 +1,6 @@
 /*
  * datagram.c
- * what gateways send each other, as bytes
+ * encodes and decodes the datagrams between gateways
  */
 #include <libcometspindle/gateway/messages/datagram.h>
 
--- a/libcometspindle/gateway/messages/datagram.h
+++ b/libcometspindle/gateway/messages/datagram.h
@@ -1,6 +1,6 @@
 /*
  * datagram.h
- * what gateways send each other, as bytes
+ * encodes and decodes the datagrams between gateways
  */
 #ifndef COMETSPINDLE_GATEWAY_DATAGRAM_H
 #define COMETSPINDLE_GATEWAY_DATAGRAM_H
@@ -11,15 +11,16 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** Largest datagram: one Ethernet frame, so that no part of it can be lost alone. */
+/** Maximum size of a datagram. It fits into one Ethernet frame, so no fragment can be lost alone.
+ */
 #define COMET_DATAGRAM_BYTES_MAX 1400
 
-/** @return the length; 0 when it does not fit. */
+/** @return the encoded length, or 0 when the datagram exceeds COMET_DATAGRAM_BYTES_MAX. */
 size_t
 comet_datagram_encode(const comet_Datagram *datagram,
 	uint8_t data[COMET_DATAGRAM_BYTES_MAX]) G_GNUC_WARN_UNUSED_RESULT;
 
-/** @return false when the bytes are not a datagram of ours. */
+/** @return false when the data is not a valid Datagram message. */
 bool
 comet_datagram_decode(
 	const uint8_t *data, size_t length, comet_Datagram *datagram) G_GNUC_WARN_UNUSED_RESULT;
--- a/libcometspindle/gateway/messages/pending_rpcs.c
+++ b/libcometspindle/gateway/messages/pending_rpcs.c
@@ -1,132 +1,133 @@
 /*
  * pending_rpcs.c
- * questions to other VMs that wait for their answers, and VMs that left one unanswered
+ * tracks RPCs to other VMs until they are answered, and VMs that left one unanswered
  */
 #include <libcometspindle/gateway/messages/pending_rpcs.h>
 
 #include <glib.h>
 #include <talloc.h>
 
-/* A question is given up after this time: a round trip takes one to three milliseconds, and a VM
- * with an eighth of a core may be busy for ten. It is a small part of any stream's aim. */
+/* A round trip takes 1 to 3 ms, and a VM with an eighth of a core may be busy for 10 ms. The
+ * timeout is a small part of the time in which the answer of any stream should begin. */
 #define ANSWER_TIMEOUT_US 40000
 
-/* A VM that did not answer is not asked for this time: as long as it takes at least until its
- * silence is noticed by its missing views. */
-#define MUTE_US 1000000
+/* How long a VM that left an RPC unanswered gets no further ones. This is the shortest time in
+ * which the VM is found unreachable because its gossip stays away. */
+#define UNRESPONSIVE_US 1000000
 
 struct comet_pending_rpcs
 {
 	size_t entry_bytes;
 	uint64_t number;
-	GQueue open;      /* of struct comet_pending_rpc, oldest first */
-	GHashTable *mute; /* address -> uint64_t, until when */
+	GQueue pending;           /* entries are struct comet_pending_rpc, oldest first */
+	GHashTable *unresponsive; /* address -> uint64_t, end of the unresponsive period */
 };
 
 static int
-asks_destroy(struct comet_pending_rpcs *asks)
+pending_rpcs_destroy(struct comet_pending_rpcs *rpcs)
 {
-	g_queue_clear_full(&asks->open, g_free);
-	g_hash_table_destroy(asks->mute);
+	g_queue_clear_full(&rpcs->pending, g_free);
+	g_hash_table_destroy(rpcs->unresponsive);
 	return 0;
 }
 
 struct comet_pending_rpcs *
 comet_pending_rpcs_create(void *parent, size_t entry_bytes)
 {
-	struct comet_pending_rpcs *asks = talloc_zero(parent, struct comet_pending_rpcs);
+	struct comet_pending_rpcs *rpcs = talloc_zero(parent, struct comet_pending_rpcs);
 
-	asks->entry_bytes = entry_bytes;
-	g_queue_init(&asks->open);
-	asks->mute = g_hash_table_new_full(NULL, NULL, NULL, g_free);
-	talloc_set_destructor(asks, asks_destroy);
-	return asks;
+	rpcs->entry_bytes = entry_bytes;
+	g_queue_init(&rpcs->pending);
+	rpcs->unresponsive = g_hash_table_new_full(NULL, NULL, NULL, g_free);
+	talloc_set_destructor(rpcs, pending_rpcs_destroy);
+	return rpcs;
 }
 
 void *
-comet_pending_rpcs_add(struct comet_pending_rpcs *asks, void *owner, uint32_t vm, uint64_t now_us)
+comet_pending_rpcs_add(struct comet_pending_rpcs *rpcs, void *owner, uint32_t vm, uint64_t now_us)
 {
-	struct comet_pending_rpc *ask = g_malloc0(asks->entry_bytes);
-
-	ask->owner = owner;
-	ask->number = ++asks->number;
-	ask->since_us = now_us;
-	ask->most_us = ANSWER_TIMEOUT_US;
-	ask->vm = vm;
-	g_queue_push_tail(&asks->open, ask);
-	return ask;
+	struct comet_pending_rpc *rpc = g_malloc0(rpcs->entry_bytes);
+
+	rpc->owner = owner;
+	rpc->number = ++rpcs->number;
+	rpc->sent_us = now_us;
+	rpc->timeout_us = ANSWER_TIMEOUT_US;
+	rpc->vm = vm;
+	g_queue_push_tail(&rpcs->pending, rpc);
+	return rpc;
 }
 
 void *
-comet_pending_rpcs_find(const struct comet_pending_rpcs *asks, uint64_t number, uint32_t vm)
+comet_pending_rpcs_find(const struct comet_pending_rpcs *rpcs, uint64_t number, uint32_t vm)
 {
-	for (GList *at = asks->open.head; at != NULL; at = at->next)
+	for (GList *link = rpcs->pending.head; link != NULL; link = link->next)
 	{
-		const struct comet_pending_rpc *ask = at->data;
-		if (ask->number == number && ask->vm == vm)
-			return at->data;
+		const struct comet_pending_rpc *rpc = link->data;
+		if (rpc->number == number && rpc->vm == vm)
+			return link->data;
 	}
 	return NULL;
 }
 
 void
-comet_pending_rpcs_remove(struct comet_pending_rpcs *asks, void *entry)
+comet_pending_rpcs_remove(struct comet_pending_rpcs *rpcs, void *entry)
 {
-	g_queue_remove(&asks->open, entry);
+	g_queue_remove(&rpcs->pending, entry);
 	g_free(entry);
 }
 
 void *
-comet_pending_rpcs_find_owner(const struct comet_pending_rpcs *asks, const void *owner)
+comet_pending_rpcs_find_owner(const struct comet_pending_rpcs *rpcs, const void *owner)
 {
-	for (GList *at = asks->open.head; at != NULL; at = at->next)
+	for (GList *link = rpcs->pending.head; link != NULL; link = link->next)
 	{
-		const struct comet_pending_rpc *ask = at->data;
-		if (ask->owner == owner)
-			return at->data;
+		const struct comet_pending_rpc *rpc = link->data;
+		if (rpc->owner == owner)
+			return link->data;
 	}
 	return NULL;
 }
 
 void *
-comet_pending_rpcs_find_expired(const struct comet_pending_rpcs *asks, uint64_t now_us)
+comet_pending_rpcs_find_expired(const struct comet_pending_rpcs *rpcs, uint64_t now_us)
 {
-	for (GList *at = asks->open.head; at != NULL; at = at->next)
+	for (GList *link = rpcs->pending.head; link != NULL; link = link->next)
 	{
-		const struct comet_pending_rpc *ask = at->data;
-		/* One that was begun meanwhile may be younger than now_us. */
-		if (ask->since_us + ask->most_us <= now_us)
-			return at->data;
+		const struct comet_pending_rpc *rpc = link->data;
+		/* The sum avoids an underflow: an RPC that the caller sent after it read the clock
+		 * has a sent_us later than now_us. */
+		if (rpc->sent_us + rpc->timeout_us <= now_us)
+			return link->data;
 	}
 	return NULL;
 }
 
 bool
-comet_pending_rpcs_has_pending(const struct comet_pending_rpcs *asks)
+comet_pending_rpcs_has_pending(const struct comet_pending_rpcs *rpcs)
 {
-	return !g_queue_is_empty((GQueue *)&asks->open);
+	return !g_queue_is_empty((GQueue *)&rpcs->pending);
 }
 
 void
-comet_pending_rpcs_mark_unresponsive(struct comet_pending_rpcs *asks, uint32_t vm, uint64_t now_us)
+comet_pending_rpcs_mark_unresponsive(struct comet_pending_rpcs *rpcs, uint32_t vm, uint64_t now_us)
 {
-	uint64_t *until = g_new(uint64_t, 1);
+	uint64_t *until_us = g_new(uint64_t, 1);
 
-	*until = now_us + MUTE_US;
-	g_hash_table_insert(asks->mute, GUINT_TO_POINTER(vm), until);
+	*until_us = now_us + UNRESPONSIVE_US;
+	g_hash_table_insert(rpcs->unresponsive, GUINT_TO_POINTER(vm), until_us);
 }
 
 void
-comet_pending_rpcs_mark_responsive(struct comet_pending_rpcs *asks, uint32_t vm)
+comet_pending_rpcs_mark_responsive(struct comet_pending_rpcs *rpcs, uint32_t vm)
 {
-	g_hash_table_remove(asks->mute, GUINT_TO_POINTER(vm));
+	g_hash_table_remove(rpcs->unresponsive, GUINT_TO_POINTER(vm));
 }
 
 bool
 comet_pending_rpcs_is_unresponsive(
-	const struct comet_pending_rpcs *asks, uint32_t vm, uint64_t now_us)
+	const struct comet_pending_rpcs *rpcs, uint32_t vm, uint64_t now_us)
 {
-	const uint64_t *until = g_hash_table_lookup(asks->mute, GUINT_TO_POINTER(vm));
+	const uint64_t *until_us = g_hash_table_lookup(rpcs->unresponsive, GUINT_TO_POINTER(vm));
 
-	return until != NULL && now_us < *until;
+	return until_us != NULL && now_us < *until_us;
 }
--- a/libcometspindle/gateway/messages/pending_rpcs.h
+++ b/libcometspindle/gateway/messages/pending_rpcs.h
@@ -1,9 +1,9 @@
 /*
  * pending_rpcs.h
- * questions to other VMs that wait for their answers, and VMs that left one unanswered
+ * tracks RPCs to other VMs until they are answered, and VMs that left one unanswered
  *
- * Any datagram may be lost, and any VM may be gone: a question is given up after a time, and its VM
- * is left alone for a while. No sockets and no clock in here.
+ * Any datagram may be lost and any VM may be down, so each RPC has a timeout. A VM that left an RPC
+ * unanswered is unresponsive for a while. This module uses no sockets and no clock.
  */
 #ifndef COMETSPINDLE_GATEWAY_PENDING_RPCS_H
 #define COMETSPINDLE_GATEWAY_PENDING_RPCS_H
@@ -12,57 +12,60 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** A question that is not answered yet; the first member of what is kept of it. */
+/** An RPC that is not answered yet. It is the first member of the caller's entry for the RPC. */
 struct comet_pending_rpc
 {
-	void *owner; /**< for whom it is asked */
-	uint64_t number;
-	uint64_t since_us;
-	uint64_t most_us; /**< it is given up after this time */
-	uint32_t vm;      /**< that was asked (IPv4, host order) */
+	void *owner;     /**< object of the caller that the RPC belongs to */
+	uint64_t number; /**< the answer repeats it */
+	uint64_t sent_us;
+	uint64_t timeout_us; /**< the RPC expires this long after sent_us */
+	uint32_t vm;         /**< address of the VM that was called (IPv4, host order) */
 };
 
 struct comet_pending_rpcs;
 
-/** entry_bytes: of what is kept of a question, struct comet_pending_rpc included. */
+/** @param entry_bytes size of the caller's entry for an RPC, struct comet_pending_rpc included */
 struct comet_pending_rpcs *
 comet_pending_rpcs_create(void *parent, size_t entry_bytes);
 
-/** Keeps a new question, with a number of its own; what follows the ask is zeroed. */
+/**
+ * Adds an RPC with a new number.
+ * @return its entry; everything after struct comet_pending_rpc is zeroed.
+ */
 void *
-comet_pending_rpcs_add(struct comet_pending_rpcs *asks, void *owner, uint32_t vm, uint64_t now_us);
+comet_pending_rpcs_add(struct comet_pending_rpcs *rpcs, void *owner, uint32_t vm, uint64_t now_us);
 
-/** @return the question of that number to that VM, or NULL. */
+/** @return the entry of the RPC with this number to this VM, or NULL. */
 void *
-comet_pending_rpcs_find(const struct comet_pending_rpcs *asks, uint64_t number, uint32_t vm);
+comet_pending_rpcs_find(const struct comet_pending_rpcs *rpcs, uint64_t number, uint32_t vm);
 
-/** It is answered, or given up: frees it. */
+/** Removes and frees the entry of an RPC that is answered, expired or cancelled. */
 void
-comet_pending_rpcs_remove(struct comet_pending_rpcs *asks, void *entry);
+comet_pending_rpcs_remove(struct comet_pending_rpcs *rpcs, void *entry);
 
-/** @return the oldest question of an owner, or NULL. */
+/** @return the entry of the oldest RPC that belongs to an object of the caller, or NULL. */
 void *
-comet_pending_rpcs_find_owner(const struct comet_pending_rpcs *asks, const void *owner);
+comet_pending_rpcs_find_owner(const struct comet_pending_rpcs *rpcs, const void *owner);
 
-/** @return a question whose time is over, or NULL. */
+/** @return the entry of an expired RPC, or NULL. */
 void *
-comet_pending_rpcs_find_expired(const struct comet_pending_rpcs *asks, uint64_t now_us);
+comet_pending_rpcs_find_expired(const struct comet_pending_rpcs *rpcs, uint64_t now_us);
 
-/** @return whether any question is open. */
+/** @return whether any RPC is pending. */
 bool
-comet_pending_rpcs_has_pending(const struct comet_pending_rpcs *asks);
+comet_pending_rpcs_has_pending(const struct comet_pending_rpcs *rpcs);
 
-/** A VM left a question unanswered. */
+/** Marks a VM that left an RPC unanswered as unresponsive for a while. */
 void
-comet_pending_rpcs_mark_unresponsive(struct comet_pending_rpcs *asks, uint32_t vm, uint64_t now_us);
+comet_pending_rpcs_mark_unresponsive(struct comet_pending_rpcs *rpcs, uint32_t vm, uint64_t now_us);
 
-/** A VM has answered something, be it late: it is there, and is asked again. */
+/** Marks a VM as responsive again; called for every answer from it, even a late one. */
 void
-comet_pending_rpcs_mark_responsive(struct comet_pending_rpcs *asks, uint32_t vm);
+comet_pending_rpcs_mark_responsive(struct comet_pending_rpcs *rpcs, uint32_t vm);
 
-/** @return whether a VM left a question unanswered of late. */
+/** @return whether a VM recently left an RPC unanswered. */
 bool
 comet_pending_rpcs_is_unresponsive(
-	const struct comet_pending_rpcs *asks, uint32_t vm, uint64_t now_us);
+	const struct comet_pending_rpcs *rpcs, uint32_t vm, uint64_t now_us);
 
 #endif
--- a/libcometspindle/gateway/placement/grants.c
+++ b/libcometspindle/gateway/placement/grants.c
@@ -1,6 +1,6 @@
 /*
  * grants.c
- * slots asked for at the VMs that keep count of endpoints
+ * requests slots at the VMs that own shards of endpoints, and answers such requests
  */
 #include <libcometspindle/gateway/placement/grants.h>
 
@@ -9,14 +9,16 @@
 #include <string.h>
 #include <talloc.h>
 
-/* An ask for a slot that is not answered yet. */
-struct open_ask
+/* A slot request that has no final answer yet. */
+struct pending_slot_request
 {
-	struct comet_pending_rpc ask; /* first member; its owner is the item, its VM the keeper */
+	/* Must be the first member. Its owner field is the placement item, its vm field the owner
+	 * of the shard. */
+	struct comet_pending_rpc rpc;
 	uint32_t shard;
 	uint32_t beyond;
-	uint64_t wait_us; /* it may wait at the keeper so long */
-	bool waits;       /* the keeper said that it does */
+	uint64_t max_wait_us; /* how long the request may wait in the owner's queue */
+	bool queued;          /* the owner answered that the request waits in its queue */
 };
 
 struct comet_grants
@@ -24,7 +26,7 @@
 	uint32_t address;
 	const struct comet_grants_ops *ops;
 	void *ctx;
-	struct comet_pending_rpcs *asks; /* of struct open_ask */
+	struct comet_pending_rpcs *rpcs; /* entries are struct pending_slot_request */
 };
 
 struct comet_grants *
@@ -35,12 +37,12 @@
 	grants->address = address;
 	grants->ops = ops;
 	grants->ctx = ctx;
-	grants->asks = comet_pending_rpcs_create(grants, sizeof(struct open_ask));
+	grants->rpcs = comet_pending_rpcs_create(grants, sizeof(struct pending_slot_request));
 	return grants;
 }
 
 static void
-send(struct comet_grants *grants, uint32_t address, const comet_Datagram *datagram)
+send_datagram(struct comet_grants *grants, uint32_t address, const comet_Datagram *datagram)
 {
 	uint8_t data[COMET_DATAGRAM_BYTES_MAX];
 	size_t length = comet_datagram_encode(datagram, data);
@@ -48,9 +50,10 @@
 	grants->ops->send(grants->ctx, address, data, length);
 }
 
-/* Milliseconds until a time, at least one; 0: there is no such time. */
+/* Returns the milliseconds until time_us, at least 1. A time_us of 0 means no time limit and
+ * returns 0. */
 static uint32_t
-left_ms(uint64_t time_us, uint64_t now_us)
+remaining_ms(uint64_t time_us, uint64_t now_us)
 {
 	if (time_us == 0)
 		return 0;
@@ -59,47 +62,48 @@
 
 void
 comet_grants_request(struct comet_grants *grants, struct comet_placement_item *item,
-	uint32_t keeper, const struct comet_slot_request *ask, uint64_t now_us)
+	uint32_t keeper, const struct comet_slot_request *request, uint64_t now_us)
 {
 	comet_Datagram datagram = {.which_body = comet_Datagram_ask_tag};
 	comet_SlotAsk *message = &datagram.body.ask;
-	struct open_ask *open = comet_pending_rpcs_add(grants->asks, item, keeper, now_us);
+	struct pending_slot_request *pending =
+		comet_pending_rpcs_add(grants->rpcs, item, keeper, now_us);
 
-	open->shard = ask->shard;
-	open->beyond = ask->beyond;
-	open->wait_us = ask->wait_us;
+	pending->shard = request->shard;
+	pending->beyond = request->beyond;
+	pending->max_wait_us = request->wait_us;
 	message->asker = grants->address;
-	message->number = open->ask.number;
-	message->shard = ask->shard;
-	message->prompt_tokens = ask->job.prompt_tokens;
-	message->output_tokens = ask->job.output_tokens;
-	message->plain = !ask->job.stream;
-	message->beyond = ask->beyond;
-	message->team_rank = ask->team_rank;
-	message->route_rank = ask->route_rank;
-	message->late = ask->late;
-	message->wait_ms = (uint32_t)(ask->wait_us / 1000);
-	message->left_ms = left_ms(ask->end_us, now_us);
-	message->aim_ms = left_ms(ask->soft_deadline_us, now_us);
-	message->except_count = (pb_size_t)MIN(ask->n_except, G_N_ELEMENTS(message->except));
+	message->number = pending->rpc.number;
+	message->shard = request->shard;
+	message->prompt_tokens = request->job.prompt_tokens;
+	message->output_tokens = request->job.output_tokens;
+	message->plain = !request->job.stream;
+	message->beyond = request->beyond;
+	message->team_rank = request->team_rank;
+	message->route_rank = request->route_rank;
+	message->late = request->late;
+	message->wait_ms = (uint32_t)(request->wait_us / 1000);
+	message->left_ms = remaining_ms(request->end_us, now_us);
+	message->aim_ms = remaining_ms(request->soft_deadline_us, now_us);
+	message->except_count = (pb_size_t)MIN(request->n_except, G_N_ELEMENTS(message->except));
 	if (message->except_count > 0)
-		memcpy(message->except, ask->except,
+		memcpy(message->except, request->except,
 			message->except_count * sizeof message->except[0]);
-	send(grants, keeper, &datagram);
+	send_datagram(grants, keeper, &datagram);
 }
 
 void
 comet_grants_cancel(struct comet_grants *grants, struct comet_placement_item *item)
 {
-	struct open_ask *open = comet_pending_rpcs_find_owner(grants->asks, item);
+	struct pending_slot_request *pending = comet_pending_rpcs_find_owner(grants->rpcs, item);
 
-	if (open != NULL)
-		comet_pending_rpcs_remove(grants->asks, open);
+	if (pending != NULL)
+		comet_pending_rpcs_remove(grants->rpcs, pending);
 }
 
-/* What is told of a result: that an address is another process's now is seen by each VM for itself,
- * since nothing mends it. */
-static const comet_SlotResult told_results[] = {
+/* The results as they are reported to the owner. WRONG_INSTANCE is not reported: an address that
+ * now belongs to another process stays wrong, so each VM detects it on its own. */
+static const comet_SlotResult reported_results[] = {
 	[COMET_DISPATCH_SERVED] = comet_SlotResult_SERVED,
 	[COMET_DISPATCH_ERROR] = comet_SlotResult_ERROR,
 	[COMET_DISPATCH_REFUSED] = comet_SlotResult_REFUSED,
@@ -111,11 +115,11 @@
 };
 
 enum comet_dispatch_result
-comet_grants_result(comet_SlotResult told)
+comet_grants_result(comet_SlotResult reported)
 {
-	for (size_t i = 0; i < G_N_ELEMENTS(told_results); i++)
+	for (size_t i = 0; i < G_N_ELEMENTS(reported_results); i++)
 	{
-		if (told != comet_SlotResult_NOTHING && told_results[i] == told)
+		if (reported != comet_SlotResult_NOTHING && reported_results[i] == reported)
 			return (enum comet_dispatch_result)i;
 	}
 	return COMET_DISPATCH_CANCELLED;
@@ -123,51 +127,52 @@
 
 void
 comet_grants_release(struct comet_grants *grants, uint32_t keeper, uint32_t instance_key,
-	const struct comet_grants_completion *end)
+	const struct comet_grants_completion *completion)
 {
 	comet_Datagram datagram = {.which_body = comet_Datagram_freed_tag};
 	comet_SlotFreed *freed = &datagram.body.freed;
 
 	freed->asker = grants->address;
 	freed->instance = instance_key;
-	if (end != NULL)
+	if (completion != NULL)
 	{
-		freed->events = end->events;
-		freed->plain = !end->stream;
-		freed->taken_us = (uint32_t)MIN(end->taken_us, UINT32_MAX);
-		freed->result = told_results[end->result];
+		freed->events = completion->events;
+		freed->plain = !completion->stream;
+		freed->taken_us = (uint32_t)MIN(completion->taken_us, UINT32_MAX);
+		freed->result = reported_results[completion->result];
 	}
-	send(grants, keeper, &datagram);
+	send_datagram(grants, keeper, &datagram);
 }
 
 static void
-take_answer(struct comet_grants *grants, const comet_SlotAnswer *answer)
+handle_answer(struct comet_grants *grants, const comet_SlotAnswer *answer)
 {
-	struct open_ask *found =
-		comet_pending_rpcs_find(grants->asks, answer->number, answer->keeper);
+	struct pending_slot_request *found =
+		comet_pending_rpcs_find(grants->rpcs, answer->number, answer->keeper);
 
-	comet_pending_rpcs_mark_responsive(grants->asks, answer->keeper);
+	comet_pending_rpcs_mark_responsive(grants->rpcs, answer->keeper);
 	if (found == NULL)
 	{
-		/* It came too late, or its request is gone. */
+		/* The RPC has timed out, or its request was cancelled. */
 		if (answer->instance != 0)
 			comet_grants_release(grants, answer->keeper, answer->instance, NULL);
 		return;
 	}
 	if (answer->instance == 0 && answer->waits)
 	{
-		found->waits = true;
-		found->ask.most_us += found->wait_us;
+		found->queued = true;
+		found->rpc.timeout_us += found->max_wait_us;
 		grants->ops->waits(
-			grants->ctx, found->ask.owner, (uint64_t)answer->expected_ms * 1000);
+			grants->ctx, found->rpc.owner, (uint64_t)answer->expected_ms * 1000);
 		return;
 	}
-	struct open_ask open = *found;
-	comet_pending_rpcs_remove(grants->asks, found);
+	struct pending_slot_request request = *found;
+	comet_pending_rpcs_remove(grants->rpcs, found);
 	if (answer->instance != 0)
-		grants->ops->granted(grants->ctx, open.ask.owner, open.ask.vm, answer->instance);
+		grants->ops->granted(
+			grants->ctx, request.rpc.owner, request.rpc.vm, answer->instance);
 	else
-		grants->ops->denied(grants->ctx, open.ask.owner, open.shard, open.beyond);
+		grants->ops->denied(grants->ctx, request.rpc.owner, request.shard, request.beyond);
 }
 
 static void
@@ -186,7 +191,7 @@
 			},
 	};
 
-	send(grants, asker, &datagram);
+	send_datagram(grants, asker, &datagram);
 }
 
 void
@@ -199,12 +204,12 @@
 }
 
 static void
-answer_ask(struct comet_grants *grants, const comet_SlotAsk *ask)
+handle_slot_request(struct comet_grants *grants, const comet_SlotAsk *request)
 {
 	struct comet_placement_wait_estimate wait = {0};
-	uint32_t instance_key = grants->ops->choose(grants->ctx, ask, &wait);
+	uint32_t instance_key = grants->ops->choose(grants->ctx, request, &wait);
 
-	send_answer(grants, ask->asker, ask->number, instance_key, &wait);
+	send_answer(grants, request->asker, request->number, instance_key, &wait);
 }
 
 void
@@ -213,48 +218,49 @@
 	switch (datagram->which_body)
 	{
 	case comet_Datagram_ask_tag:
-		answer_ask(grants, &datagram->body.ask);
+		handle_slot_request(grants, &datagram->body.ask);
 		break;
 	case comet_Datagram_answer_tag:
-		take_answer(grants, &datagram->body.answer);
+		handle_answer(grants, &datagram->body.answer);
 		break;
 	case comet_Datagram_freed_tag:
 		grants->ops->freed(grants->ctx, &datagram->body.freed);
 		break;
 	default:
-		break; /* a view is handed to the views */
+		break; /* other modules handle the other kinds of datagram */
 	}
 }
 
-/* No answer, or no slot in the time for which it was to wait. */
+/* Ends a slot request that the owner left unanswered, or that waited there for its whole time. */
 static void
-give_up(struct comet_grants *grants, const struct open_ask *open, uint64_t now_us)
+handle_timeout(
+	struct comet_grants *grants, const struct pending_slot_request *request, uint64_t now_us)
 {
-	if (open->waits)
+	if (request->queued)
 	{
-		grants->ops->waited(grants->ctx, open->ask.owner);
+		grants->ops->waited(grants->ctx, request->rpc.owner);
 		return;
 	}
-	comet_pending_rpcs_mark_unresponsive(grants->asks, open->ask.vm, now_us);
-	grants->ops->unanswered(grants->ctx, open->ask.owner, open->ask.vm);
+	comet_pending_rpcs_mark_unresponsive(grants->rpcs, request->rpc.vm, now_us);
+	grants->ops->unanswered(grants->ctx, request->rpc.owner, request->rpc.vm);
 }
 
 bool
 comet_grants_tick(struct comet_grants *grants, uint64_t now_us)
 {
-	struct open_ask *overdue = NULL;
+	struct pending_slot_request *expired = NULL;
 
-	while ((overdue = comet_pending_rpcs_find_expired(grants->asks, now_us)) != NULL)
+	while ((expired = comet_pending_rpcs_find_expired(grants->rpcs, now_us)) != NULL)
 	{
-		struct open_ask open = *overdue;
-		comet_pending_rpcs_remove(grants->asks, overdue);
-		give_up(grants, &open, now_us);
+		struct pending_slot_request request = *expired;
+		comet_pending_rpcs_remove(grants->rpcs, expired);
+		handle_timeout(grants, &request, now_us);
 	}
-	return comet_pending_rpcs_has_pending(grants->asks);
+	return comet_pending_rpcs_has_pending(grants->rpcs);
 }
 
 bool
 comet_grants_is_unresponsive(const struct comet_grants *grants, uint32_t keeper, uint64_t now_us)
 {
-	return comet_pending_rpcs_is_unresponsive(grants->asks, keeper, now_us);
+	return comet_pending_rpcs_is_unresponsive(grants->rpcs, keeper, now_us);
 }
--- a/libcometspindle/gateway/placement/grants.h
+++ b/libcometspindle/gateway/placement/grants.h
@@ -1,13 +1,15 @@
 /*
  * grants.h
- * slots asked for at the VMs that keep count of endpoints
+ * requests slots at the VMs that own shards of endpoints, and answers such requests
  *
- * Views are some hundred milliseconds old: VMs that choose by them all fill the
- * same free slot. So one VM keeps exact count of each shard of endpoints, and
- * the others ask it before they send there. A grant is advice, not a lock: an
- * ask that is not answered in time is given up, and the request is placed by
- * views instead, so that a lost datagram or a dead VM costs a few milliseconds.
- * No sockets and no clock in here.
+ * The state that VMs exchange by gossip is some hundred milliseconds old, so VMs
+ * that place requests by gossip alone all fill the same free slot. Therefore one
+ * VM, the owner of a shard, counts the used slots of its endpoints exactly, and
+ * the other VMs request a slot from the owner before they dispatch.
+ *
+ * A grant is advisory, not a lock. A slot request that is not answered in time
+ * expires, and the request is placed by gossip instead, so a lost datagram or a
+ * unreachable owner costs a few milliseconds. This module uses no sockets and no clock.
  */
 #ifndef COMETSPINDLE_GATEWAY_GRANTS_H
 #define COMETSPINDLE_GATEWAY_GRANTS_H
@@ -21,72 +23,86 @@
 struct comet_grants_ops
 {
 	void (*send)(void *ctx, uint32_t address, const uint8_t *data, size_t length);
-	/** Asker: the keeper granted a slot at an instance. */
+	/** Requesting VM: the owner granted a slot at an instance. */
 	void (*granted)(void *ctx, struct comet_placement_item *item, uint32_t keeper,
 		uint32_t instance_key);
-	/** Asker: nothing in the shard has room at this level. */
+	/** Requesting VM: no endpoint of the shard has room with this queue limit. */
 	void (*denied)(
 		void *ctx, struct comet_placement_item *item, uint32_t shard, uint32_t beyond);
-	/** Asker: it waits at the keeper, as long as is told. */
+	/** Requesting VM: the request waits at the owner, which expects the wait to take
+	 * expected_us. */
 	void (*waits)(void *ctx, struct comet_placement_item *item, uint64_t expected_us);
-	/** Asker: it has waited at the keeper for as long as it was to. */
+	/** Requesting VM: the request has waited at the owner for its maximum time without a
+	 * grant. */
 	void (*waited)(void *ctx, struct comet_placement_item *item);
-	/** Asker: the keeper did not answer in time. */
+	/** Requesting VM: the owner did not answer in time. */
 	void (*unanswered)(void *ctx, struct comet_placement_item *item, uint32_t keeper);
-	/** Keeper: chooses for another VM. @return the instance's key, or 0. */
-	uint32_t (*choose)(
-		void *ctx, const comet_SlotAsk *ask, struct comet_placement_wait_estimate *wait);
-	/** Keeper: another VM has left a slot that it was granted. */
+	/**
+	 * Owner: selects an instance for the slot request of another VM.
+	 * @return the key of the instance; 0 when none has room, and then *wait says whether the
+	 * request waits here.
+	 */
+	uint32_t (*choose)(void *ctx, const comet_SlotAsk *request,
+		struct comet_placement_wait_estimate *wait);
+	/** Owner: another VM has released a slot that it had been granted. */
 	void (*freed)(void *ctx, const comet_SlotFreed *freed);
 };
 
 struct comet_grants;
 
-/** address: of this VM (IPv4, host order). */
+/** @param address the address of this VM (IPv4, host order) */
 struct comet_grants *
 comet_grants_create(void *parent, uint32_t address, const struct comet_grants_ops *ops, void *ctx);
 
-/** Asks a keeper for a slot; ends in one of granted, denied, waited, unanswered, or by forget. */
+/**
+ * Requests a slot from the owner of a shard. Exactly one of granted, denied, waited and unanswered
+ * is called at the end, or none after comet_grants_cancel().
+ */
 void
 comet_grants_request(struct comet_grants *grants, struct comet_placement_item *item,
-	uint32_t keeper, const struct comet_slot_request *ask, uint64_t now_us);
+	uint32_t keeper, const struct comet_slot_request *request, uint64_t now_us);
 
-/** The item is not to be placed any more: a grant that still comes is given back. */
+/** Cancels the slot request of an item. A grant that still arrives for it is released. */
 void
 comet_grants_cancel(struct comet_grants *grants, struct comet_placement_item *item);
 
-/** What a keeper is told of a request that has left its slot. */
+/** What is reported to the owner about a request that has released its slot. */
 struct comet_grants_completion
 {
 	enum comet_dispatch_result result;
 	bool stream;
-	uint32_t events;   /**< of a whole answer that was one; or 0 */
-	uint64_t taken_us; /**< from its first event to its last, or for all of a plain one; or 0 */
+	uint32_t events; /**< number of events of a complete streamed answer, otherwise 0 */
+	/** Time from the first event to the last, or of the whole answer when it is not streamed; 0
+	 * when unknown. */
+	uint64_t taken_us;
 };
 
-/** Gives a granted slot back; end: NULL when the request was not sent there. */
+/**
+ * Releases a granted slot.
+ * @param completion NULL when the request was not dispatched to the endpoint
+ */
 void
 comet_grants_release(struct comet_grants *grants, uint32_t keeper, uint32_t instance_key,
-	const struct comet_grants_completion *end);
+	const struct comet_grants_completion *completion);
 
-/** The result that a keeper is told, as a result of its own. */
+/** @return the dispatch result for a result that another VM reported to this owner. */
 enum comet_dispatch_result
-comet_grants_result(comet_SlotResult told);
+comet_grants_result(comet_SlotResult reported);
 
-/** Keeper: a request that has waited here may have a slot. */
+/** Owner: grants a slot to a remote waiter. */
 void
 comet_grants_grant(
 	struct comet_grants *grants, uint32_t asker, uint64_t number, uint32_t instance_key);
 
-/** A datagram arrived that is no view. */
+/** Handles a received slot request, answer or release; other datagrams are ignored. */
 void
 comet_grants_receive(struct comet_grants *grants, const comet_Datagram *datagram);
 
-/** Gives up asks that were not answered in time. @return whether any is still open */
+/** Ends slot requests whose time is over. @return whether any slot request is still pending. */
 bool
 comet_grants_tick(struct comet_grants *grants, uint64_t now_us);
 
-/** @return whether a VM left an ask unanswered of late. */
+/** @return whether a VM recently left a slot request unanswered. */
 bool
 comet_grants_is_unresponsive(const struct comet_grants *grants, uint32_t keeper, uint64_t now_us);
 
--- a/libcometspindle/gateway/placement/shards.c
+++ b/libcometspindle/gateway/placement/shards.c
@@ -1,6 +1,6 @@
 /*
  * shards.c
- * the endpoints of a service in parts, each of which one VM keeps count of
+ * splits the endpoints of a service into shards, each of which is owned by one VM
  */
 #include <libcometspindle/gateway/placement/shards.h>
 
@@ -8,15 +8,15 @@
 #include <string.h>
 #include <talloc.h>
 
-/* Most endpoints of a shard: so many that an ask seldom meets a full one, and so few that the asks
- * for it (some per second and endpoint) take its keeper about a hundredth of a core. */
-#define MEMBERS_MAX 64
+/* Large enough that a slot request seldom finds the whole shard full, and small enough that the
+ * slot requests (a few per second and endpoint) take about a hundredth of a core on the owner. */
+#define SHARD_ENDPOINTS_MAX 64
 
 struct comet_shards
 {
 	struct comet_instances *instances;
-	uint64_t changes;     /* of the instances, when the shards were formed */
-	GHashTable *counts;   /* group -> number of its endpoints */
+	uint64_t changes;     /* change counter of the instances when the shards were formed */
+	GHashTable *counts;   /* group (service and zone) -> number of endpoints */
 	GHashTable *by_id;    /* id -> struct comet_shard */
 	GHashTable *services; /* service -> GPtrArray of struct comet_shard */
 };
@@ -60,9 +60,9 @@
 	return shards;
 }
 
-/* Endpoints of one service in one zone. */
+/* Returns the hash that identifies the endpoints of one service in one availability zone. */
 static uint32_t
-group_of(const struct comet_instance *instance)
+group_hash(const struct comet_instance *instance)
 {
 	uint32_t names[] = {comet_hash_name(instance->service), comet_hash_name(instance->zone)};
 
@@ -70,13 +70,13 @@
 }
 
 static void
-count(void *ctx, struct comet_instance *instance)
+count_in_group(void *ctx, struct comet_instance *instance)
 {
 	GHashTable *counts = ctx;
-	gpointer group = GUINT_TO_POINTER(group_of(instance));
-	guint before = GPOINTER_TO_UINT(g_hash_table_lookup(counts, group));
+	gpointer group = GUINT_TO_POINTER(group_hash(instance));
+	guint previous = GPOINTER_TO_UINT(g_hash_table_lookup(counts, group));
 
-	g_hash_table_insert(counts, group, GUINT_TO_POINTER(before + 1));
+	g_hash_table_insert(counts, group, GUINT_TO_POINTER(previous + 1));
 }
 
 static struct comet_shard *
@@ -85,12 +85,13 @@
 	return g_hash_table_lookup(shards->by_id, GUINT_TO_POINTER(id));
 }
 
-/* The shard that an instance belongs to, when its group has so many endpoints. */
+/* Returns the shard of an instance whose group has in_group endpoints; creates it if necessary. */
 static struct comet_shard *
-shard_for(struct comet_shards *shards, const struct comet_instance *instance, uint32_t in_group)
+find_or_create_shard(
+	struct comet_shards *shards, const struct comet_instance *instance, uint32_t in_group)
 {
-	uint32_t parts = (in_group + MEMBERS_MAX - 1) / MEMBERS_MAX;
-	uint32_t names[] = {group_of(instance), parts, instance->place % parts};
+	uint32_t n_shards = (in_group + SHARD_ENDPOINTS_MAX - 1) / SHARD_ENDPOINTS_MAX;
+	uint32_t names[] = {group_hash(instance), n_shards, instance->place % n_shards};
 	uint32_t id = (uint32_t)comet_hash_bytes(names, sizeof names, 0);
 	struct comet_shard *shard = lookup(shards, id);
 
@@ -106,12 +107,12 @@
 }
 
 static void
-join(void *ctx, struct comet_instance *instance)
+add_to_shard(void *ctx, struct comet_instance *instance)
 {
 	struct comet_shards *shards = ctx;
-	gpointer group = GUINT_TO_POINTER(group_of(instance));
+	gpointer group = GUINT_TO_POINTER(group_hash(instance));
 	guint in_group = GPOINTER_TO_UINT(g_hash_table_lookup(shards->counts, group));
-	struct comet_shard *shard = shard_for(shards, instance, in_group);
+	struct comet_shard *shard = find_or_create_shard(shards, instance, in_group);
 
 	instance->shard = shard->id;
 	g_ptr_array_add(shard->members, instance);
@@ -128,7 +129,7 @@
 }
 
 static void
-list_by_service(struct comet_shards *shards, struct comet_shard *shard)
+add_to_service(struct comet_shards *shards, struct comet_shard *shard)
 {
 	GPtrArray *array = g_hash_table_lookup(shards->services, shard->service);
 
@@ -140,28 +141,28 @@
 	g_ptr_array_add(array, shard);
 }
 
-/* Forms the shards anew if endpoints came or went. What was denied stays known. */
+/* Rebuilds the shards if endpoints were added or removed. Shards that remain keep their denials. */
 static void
 refresh(struct comet_shards *shards)
 {
 	uint64_t changes = comet_instances_changes(shards->instances);
-	GHashTableIter at;
+	GHashTableIter iter;
 	gpointer shard = NULL;
 
 	if (changes == shards->changes)
 		return;
 	shards->changes = changes;
 	g_hash_table_remove_all(shards->services);
-	g_hash_table_iter_init(&at, shards->by_id);
-	while (g_hash_table_iter_next(&at, NULL, &shard))
+	g_hash_table_iter_init(&iter, shards->by_id);
+	while (g_hash_table_iter_next(&iter, NULL, &shard))
 		g_ptr_array_set_size(((struct comet_shard *)shard)->members, 0);
 	g_hash_table_remove_all(shards->counts);
-	comet_instances_each(shards->instances, count, shards->counts);
-	comet_instances_each(shards->instances, join, shards);
+	comet_instances_each(shards->instances, count_in_group, shards->counts);
+	comet_instances_each(shards->instances, add_to_shard, shards);
 	g_hash_table_foreach_remove(shards->by_id, is_empty, NULL);
-	g_hash_table_iter_init(&at, shards->by_id);
-	while (g_hash_table_iter_next(&at, NULL, &shard))
-		list_by_service(shards, shard);
+	g_hash_table_iter_init(&iter, shards->by_id);
+	while (g_hash_table_iter_next(&iter, NULL, &shard))
+		add_to_service(shards, shard);
 }
 
 const GPtrArray *
--- a/libcometspindle/gateway/placement/shards.h
+++ b/libcometspindle/gateway/placement/shards.h
@@ -1,11 +1,11 @@
 /*
  * shards.h
- * the endpoints of a service in parts, each of which one VM keeps count of
+ * splits the endpoints of a service into shards, each of which is owned by one VM
  *
  * A shard holds endpoints of one service in one availability zone. VMs that
- * have read the same list form the same shards; while their lists differ, two
- * VMs may keep count of the same endpoint, which only makes the counts less
- * exact.
+ * have read the same list of endpoints form the same shards. While their lists
+ * differ, two VMs may own the same endpoint, which only makes their counts of
+ * used slots less exact.
  */
 #ifndef COMETSPINDLE_GATEWAY_SHARDS_H
 #define COMETSPINDLE_GATEWAY_SHARDS_H
@@ -14,21 +14,23 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Levels of room: requests that may be at an endpoint beyond its slots are fewer than this. */
+/** Number of queue limits. A queue limit is how many requests an endpoint may have beyond its
+ * slots, from 0 to COMET_SHARD_LEVELS - 1. */
 #define COMET_SHARD_LEVELS 3
 
 struct comet_shard
 {
-	uint32_t id; /**< the same on all VMs */
+	uint32_t id; /**< hash that is the same on all VMs */
 	char *service;
-	uint32_t zone_id;   /**< comet_hash_name() of its zone */
-	GPtrArray *members; /**< of struct comet_instance */
-	uint32_t keeper; /**< address of the VM that keeps count, as found at owner_checked_us; 0:
-			    none */
+	uint32_t zone_id;   /**< comet_hash_name() of the availability zone */
+	GPtrArray *members; /**< entries are struct comet_instance */
+	/** Address of the owner as of owner_checked_us; 0 when there is none. */
+	uint32_t keeper;
 	uint64_t owner_checked_us;
-	/** By level: until then its keeper has no room; 0: not known. */
+	/** By queue limit: the time until which the owner is taken to have no room; 0 when it is
+	 * not known to be full. */
 	uint64_t denied_us[COMET_SHARD_LEVELS];
-	/** By level: pass over a queue in which it was found full, for its keeper. */
+	/** On the owner, by queue limit: the last pass over the queue that found the shard full. */
 	uint64_t full_pass[COMET_SHARD_LEVELS];
 };
 
@@ -37,19 +39,20 @@
 struct comet_shards *
 comet_shards_create(void *parent, struct comet_instances *instances);
 
-/** The shards of a service; NULL when it has no endpoints. */
+/** @return the shards of a service (struct comet_shard), or NULL when it has no endpoints. */
 const GPtrArray *
 comet_shards_for_service(struct comet_shards *shards, const char *service);
 
-/** @return the shard of an id, or NULL. */
+/** @return the shard with this id, or NULL. */
 struct comet_shard *
 comet_shards_find(struct comet_shards *shards, uint32_t id);
 
-/** Its keeper has no room at this level, hence at none below, until then. */
+/** Records that the owner has no room with this queue limit, and hence with no smaller one, until
+ * until_us. */
 void
 comet_shard_denied(struct comet_shard *shard, uint32_t level, uint64_t until_us);
 
-/** A slot has come free in it. */
+/** Forgets the recorded denials, because a slot of the shard was released. */
 void
 comet_shard_slot_released(struct comet_shard *shard);
 
