--- a/tests/unit/grants_fleet.h
+++ b/tests/unit/grants_fleet.h
@@ -1,6 +1,9 @@
 /*
  * grants_fleet.h
- * several VMs with placement, views and grants, wired as the gateway's adapter wires them
+ * simulates several VMs with placement, gossip and grants in virtual time
+ *
+ * The VMs are connected in the same way as the gateway connects these modules. Datagrams are queued
+ * until a test delivers them, so a test can lose or reorder them.
  */
 #ifndef COMETSPINDLE_TESTS_GRANTS_FLEET_H
 #define COMETSPINDLE_TESTS_GRANTS_FLEET_H
@@ -31,36 +34,37 @@
 
 struct fleet;
 
-/* One VM, wired as the gateway's adapter wires it. */
+/* The modules of one VM and the callbacks between them. */
 struct vm
 {
-	fleet *all = nullptr;
+	fleet *parent = nullptr;
 	uint32_t address = 0;
 	comet_instances *instances = nullptr;
 	comet_rate_limiter *rate_limiter = nullptr;
 	comet_placement *placement = nullptr;
 	comet_gossip *gossip = nullptr;
 	comet_grants *grants = nullptr;
-	std::map<comet_placement_item *, std::string> sent;
-	std::map<comet_placement_item *, int> dispatches; /* of each, ever */
+	std::map<comet_placement_item *, std::string> sent; /* running item -> endpoint */
+	std::map<comet_placement_item *, int> dispatches;   /* total count per item */
 	std::set<comet_placement_item *> refused;
 
-	/* The best VM that is not mute. */
+	/* Returns the address of the highest-ranked VM that is not unresponsive. */
 	uint32_t
-	keeper_of(const comet_shard *shard, uint64_t now_us) const
+	find_owner(const comet_shard *shard, uint64_t now_us) const
 	{
 		struct query
 		{
 			const comet_grants *grants;
 			uint64_t now_us;
 		} query = {grants, now_us};
-		auto is_mute = [](const void *ctx, uint32_t vm)
+		auto is_unresponsive = [](const void *ctx, uint32_t vm)
 		{
-			const auto *of = static_cast<const struct query *>(ctx);
-			return comet_grants_is_unresponsive(of->grants, vm, of->now_us);
+			const auto *query_ctx = static_cast<const struct query *>(ctx);
+			return comet_grants_is_unresponsive(
+				query_ctx->grants, vm, query_ctx->now_us);
 		};
 		return comet_gossip_find_responsive_owner(
-			gossip, shard->id, shard->zone_id, is_mute, &query, now_us);
+			gossip, shard->id, shard->zone_id, is_unresponsive, &query, now_us);
 	}
 };
 
@@ -74,21 +78,21 @@
 struct fleet
 {
 	std::map<uint32_t, vm> vms;
-	std::deque<mail> post;
+	std::deque<mail> in_flight;
 	std::function<bool(const mail &)> lost = [](const mail &) { return false; };
 	std::vector<std::unique_ptr<comet_placement_item>> items;
-	std::map<std::string, std::vector<uint64_t>> sends; /* when, by endpoint */
-	std::map<comet_placement_item *, uint64_t> sent_us; /* the last time */
-	comet_route_table *table = nullptr;                 /* with one team, "t" */
+	std::map<std::string, std::vector<uint64_t>> sends; /* endpoint -> dispatch times */
+	std::map<comet_placement_item *, uint64_t> sent_us; /* time of the last dispatch */
+	comet_route_table *table = nullptr;                 /* contains one team, "t" */
 	uint64_t now_us = 0;
-	bool asks = true;
+	bool asks = true; /* whether VMs request slots from owners; false: gossip alone */
 
 	fleet(uint32_t count, int endpoints)
 	{
 		table = create_team_table();
 		for (uint32_t i = 1; i <= count; i++)
 			start(i, endpoints);
-		pass(4000000); /* until they have heard each other and are old enough to keep */
+		pass(4000000); /* until the VMs know each other and are old enough to own shards */
 	}
 
 	~fleet()
@@ -102,15 +106,15 @@
 	start(uint32_t address, int endpoints, uint32_t cpu_percent = 100)
 	{
 		static const uint32_t seeds[] = {1};
-		static const comet_gossip_ops views_ops = {on_send, on_changed};
+		static const comet_gossip_ops gossip_ops = {on_send, on_changed};
 		static const comet_placement_ops placement_ops = {
-			on_dispatch, on_refuse, on_keeper, on_ask, on_forget, on_grant};
+			on_dispatch, on_refuse, on_find_owner, on_request, on_cancel, on_grant};
 		static const comet_grants_ops grants_ops = {on_send, on_granted, on_denied,
-			on_waits, on_waited, on_unanswered, on_choose, on_freed};
+			on_waits, on_waited, on_unanswered, on_choose, on_released};
 		comet_rate_limiter_config bounds = {8000, 0, 0};
 		vm &one = vms[address];
 
-		one.all = this;
+		one.parent = this;
 		one.address = address;
 		one.instances = comet_instances_create(nullptr, "z");
 		one.rate_limiter = comet_rate_limiter_create(one.instances, &bounds, now_us);
@@ -125,7 +129,7 @@
 		comet_gossip_config config = {address, address, now_us, 8000, seeds, 1, "z", 100000,
 			100000, cpu_percent, nullptr};
 		one.gossip = comet_gossip_create(
-			one.instances, &config, one.instances, one.rate_limiter, &views_ops, &one);
+			one.instances, &config, one.instances, one.rate_limiter, &gossip_ops, &one);
 		one.placement = comet_placement_create(
 			one.instances, one.instances, &placement_ops, &one, address);
 		one.grants = comet_grants_create(one.instances, address, &grants_ops, &one);
@@ -135,7 +139,7 @@
 	on_send(void *ctx, uint32_t address, const uint8_t *data, size_t length)
 	{
 		auto *one = static_cast<vm *>(ctx);
-		one->all->post.push_back(
+		one->parent->in_flight.push_back(
 			{one->address, address, std::string((const char *)data, length)});
 	}
 
@@ -151,8 +155,8 @@
 		comet_instance_started(instance, &item->job);
 		one->sent[item] = instance->id;
 		one->dispatches[item]++;
-		one->all->sends[instance->id].push_back(one->all->now_us);
-		one->all->sent_us[item] = one->all->now_us;
+		one->parent->sends[instance->id].push_back(one->parent->now_us);
+		one->parent->sent_us[item] = one->parent->now_us;
 	}
 
 	static void
@@ -162,48 +166,49 @@
 	}
 
 	static comet_placement_owner
-	on_keeper(void *ctx, comet_shard *shard)
+	on_find_owner(void *ctx, comet_shard *shard)
 	{
 		auto *one = static_cast<vm *>(ctx);
-		uint64_t now_us = one->all->now_us;
-		if (!one->all->asks)
+		uint64_t now_us = one->parent->now_us;
+		if (!one->parent->asks)
 			return COMET_PLACEMENT_OWNER_NONE;
-		uint32_t keeper = one->keeper_of(shard, now_us);
-		if (keeper == one->address)
+		uint32_t owner = one->find_owner(shard, now_us);
+		if (owner == one->address)
 			return COMET_PLACEMENT_OWNER_SELF;
-		return keeper != 0 ? COMET_PLACEMENT_OWNER_OTHER : COMET_PLACEMENT_OWNER_NONE;
+		return owner != 0 ? COMET_PLACEMENT_OWNER_OTHER : COMET_PLACEMENT_OWNER_NONE;
 	}
 
 	static void
-	on_ask(void *ctx, comet_placement_item *item, comet_shard *shard,
-		const comet_slot_request *ask)
+	on_request(void *ctx, comet_placement_item *item, comet_shard *shard,
+		const comet_slot_request *request)
 	{
 		auto *one = static_cast<vm *>(ctx);
-		uint64_t now_us = one->all->now_us;
-		comet_grants_request(one->grants, item, one->keeper_of(shard, now_us), ask, now_us);
+		uint64_t now_us = one->parent->now_us;
+		comet_grants_request(
+			one->grants, item, one->find_owner(shard, now_us), request, now_us);
 	}
 
 	static void
-	on_forget(void *ctx, comet_placement_item *item)
+	on_cancel(void *ctx, comet_placement_item *item)
 	{
 		comet_grants_cancel(static_cast<vm *>(ctx)->grants, item);
 	}
 
 	static void
-	on_granted(void *ctx, comet_placement_item *item, uint32_t keeper, uint32_t key)
+	on_granted(void *ctx, comet_placement_item *item, uint32_t owner, uint32_t key)
 	{
 		auto *one = static_cast<vm *>(ctx);
-		if (!comet_placement_granted(one->placement, item, keeper, key, one->all->now_us))
-			comet_grants_release(one->grants, keeper, key, nullptr);
-		comet_placement_run(one->placement, one->all->now_us);
+		if (!comet_placement_granted(one->placement, item, owner, key, one->parent->now_us))
+			comet_grants_release(one->grants, owner, key, nullptr);
+		comet_placement_run(one->placement, one->parent->now_us);
 	}
 
 	static void
 	on_denied(void *ctx, comet_placement_item *item, uint32_t shard, uint32_t beyond)
 	{
 		auto *one = static_cast<vm *>(ctx);
-		comet_placement_denied(one->placement, item, shard, beyond, one->all->now_us);
-		comet_placement_run(one->placement, one->all->now_us);
+		comet_placement_denied(one->placement, item, shard, beyond, one->parent->now_us);
+		comet_placement_run(one->placement, one->parent->now_us);
 	}
 
 	static void
@@ -211,62 +216,64 @@
 	{
 		auto *one = static_cast<vm *>(ctx);
 		comet_placement_set_expected_wait(
-			one->placement, item, expected_us, one->all->now_us);
+			one->placement, item, expected_us, one->parent->now_us);
 	}
 
 	static void
 	on_waited(void *ctx, comet_placement_item *item)
 	{
 		auto *one = static_cast<vm *>(ctx);
-		comet_placement_wait_expired(one->placement, item, one->all->now_us);
-		comet_placement_run(one->placement, one->all->now_us);
+		comet_placement_wait_expired(one->placement, item, one->parent->now_us);
+		comet_placement_run(one->placement, one->parent->now_us);
 	}
 
 	static void
-	on_grant(void *ctx, const comet_slot_request *ask, comet_instance *instance)
+	on_grant(void *ctx, const comet_slot_request *request, comet_instance *instance)
 	{
 		auto *one = static_cast<vm *>(ctx);
-		comet_gossip_slot_granted(one->gossip, ask->asker, instance->key,
-			ask->job.prompt_tokens, one->all->now_us);
-		comet_grants_grant(one->grants, ask->asker, ask->number, instance->key);
+		comet_gossip_slot_granted(one->gossip, request->asker, instance->key,
+			request->job.prompt_tokens, one->parent->now_us);
+		comet_grants_grant(one->grants, request->asker, request->number, instance->key);
 	}
 
 	static void
 	on_unanswered(void *ctx, comet_placement_item *item, uint32_t)
 	{
 		auto *one = static_cast<vm *>(ctx);
-		comet_placement_unanswered(one->placement, item, one->all->now_us);
+		comet_placement_unanswered(one->placement, item, one->parent->now_us);
 	}
 
 	static uint32_t
-	on_choose(void *ctx, const comet_SlotAsk *ask, comet_placement_wait_estimate *wait)
+	on_choose(void *ctx, const comet_SlotAsk *request, comet_placement_wait_estimate *wait)
 	{
 		auto *one = static_cast<vm *>(ctx);
-		uint64_t now_us = one->all->now_us;
-		comet_slot_request wanted = {};
-		wanted.asker = ask->asker;
-		wanted.number = ask->number;
-		wanted.shard = ask->shard;
-		wanted.beyond = ask->beyond;
-		wanted.except = ask->except;
-		wanted.n_except = ask->except_count;
-		wanted.job = {ask->prompt_tokens, ask->output_tokens, 0, !ask->plain};
-		wanted.team_rank = ask->team_rank;
-		wanted.route_rank = ask->route_rank;
-		wanted.late = ask->late;
-		wanted.soft_deadline_us = ask->aim_ms > 0 ? now_us + ask->aim_ms * 1000 : 0;
-		wanted.wait_us = ask->wait_ms * 1000;
+		uint64_t now_us = one->parent->now_us;
+		comet_slot_request slot_request = {};
+		slot_request.asker = request->asker;
+		slot_request.number = request->number;
+		slot_request.shard = request->shard;
+		slot_request.beyond = request->beyond;
+		slot_request.except = request->except;
+		slot_request.n_except = request->except_count;
+		slot_request.job = {
+			request->prompt_tokens, request->output_tokens, 0, !request->plain};
+		slot_request.team_rank = request->team_rank;
+		slot_request.route_rank = request->route_rank;
+		slot_request.late = request->late;
+		slot_request.soft_deadline_us =
+			request->aim_ms > 0 ? now_us + request->aim_ms * 1000 : 0;
+		slot_request.wait_us = request->wait_ms * 1000;
 		comet_instance *instance =
-			comet_placement_choose_remote(one->placement, &wanted, now_us, wait);
+			comet_placement_choose_remote(one->placement, &slot_request, now_us, wait);
 		if (instance == nullptr)
 			return 0;
 		comet_gossip_slot_granted(
-			one->gossip, ask->asker, instance->key, ask->prompt_tokens, now_us);
+			one->gossip, request->asker, instance->key, request->prompt_tokens, now_us);
 		return instance->key;
 	}
 
 	static void
-	on_freed(void *ctx, const comet_SlotFreed *freed)
+	on_released(void *ctx, const comet_SlotFreed *freed)
 	{
 		auto *one = static_cast<vm *>(ctx);
 		comet_gossip_slot_released(one->gossip, freed->asker, freed->instance);
@@ -277,26 +284,27 @@
 			comet_instance_learn(
 				instance, !freed->plain, freed->taken_us, freed->events);
 			comet_instance_remote_result(
-				instance, comet_grants_result(freed->result), one->all->now_us);
+				instance, comet_grants_result(freed->result), one->parent->now_us);
 		}
-		comet_placement_run(one->placement, one->all->now_us);
+		comet_placement_run(one->placement, one->parent->now_us);
 	}
 
-	/* Delivers what was sent, and what that brings about. */
+	/* Delivers all queued datagrams, including those that are sent in reply. */
 	void
 	deliver()
 	{
-		while (!post.empty())
+		while (!in_flight.empty())
 		{
-			mail one = post.front();
-			post.pop_front();
+			mail one = in_flight.front();
+			in_flight.pop_front();
 			if (!lost(one))
-				arrive(one);
+				receive(one);
 		}
 	}
 
+	/* Passes a datagram to its receiver; does nothing when the VM does not exist. */
 	void
-	arrive(const mail &one)
+	receive(const mail &one)
 	{
 		comet_Datagram datagram;
 
@@ -313,6 +321,7 @@
 			comet_grants_receive(to.grants, &datagram);
 	}
 
+	/* Advances the clock in steps of 10 ms, and delivers the datagrams of each step. */
 	void
 	pass(uint64_t us)
 	{
@@ -324,15 +333,17 @@
 				comet_grants_tick(one.second.grants, now_us);
 				comet_gossip_tick(one.second.gossip, now_us);
 				uint32_t known = 0;
-				uint32_t heard = 0;
-				comet_gossip_count(one.second.gossip, &known, &heard);
-				comet_placement_set_vms(one.second.placement, heard + 1, known + 1);
+				uint32_t reachable = 0;
+				comet_gossip_count(one.second.gossip, &known, &reachable);
+				comet_placement_set_vms(
+					one.second.placement, reachable + 1, known + 1);
 				comet_placement_run(one.second.placement, now_us);
 			}
 			deliver();
 		}
 	}
 
+	/* Submits a request at a VM. A plain request is not streamed. */
 	comet_placement_item *
 	submit(uint32_t address, uint32_t rank = 2, uint64_t soft_deadline_us = 0,
 		bool plain = false)
@@ -351,7 +362,7 @@
 		return items.back().get();
 	}
 
-	/* The answer is whole. */
+	/* Ends a dispatched request at its endpoint and releases its slot. */
 	void
 	end(uint32_t address, comet_placement_item *item, uint32_t events = 0,
 		uint64_t stream_us = 0, comet_dispatch_result result = COMET_DISPATCH_CANCELLED)
@@ -363,14 +374,16 @@
 		comet_placement_slot_released(one.placement, instance);
 		if (item->keeper != 0)
 		{
-			comet_grants_completion end = {result, item->job.stream, events, stream_us};
-			comet_grants_release(one.grants, item->keeper, instance->key, &end);
+			comet_grants_completion completion = {
+				result, item->job.stream, events, stream_us};
+			comet_grants_release(one.grants, item->keeper, instance->key, &completion);
 		}
 		item->keeper = 0;
 		one.sent.erase(item);
 		comet_placement_run(one.placement, now_us);
 	}
 
+	/* Returns the number of running requests per endpoint. */
 	std::map<std::string, uint32_t>
 	running()
 	{
@@ -381,6 +394,7 @@
 		return sum;
 	}
 
+	/* Returns the largest number of running requests at one endpoint. */
 	uint32_t
 	most_at_one()
 	{
@@ -399,16 +413,17 @@
 		return sum;
 	}
 
+	/* Returns the owner of the shard of endpoint i0, as the VM observer sees it. */
 	uint32_t
-	keeper_of_all(uint32_t asker)
+	keeper_of_all(uint32_t observer)
 	{
-		comet_instance *any = comet_instances_find(vms[asker].instances, "i0");
-		comet_shards *shards = comet_shards_create(nullptr, vms[asker].instances);
+		comet_instance *any = comet_instances_find(vms[observer].instances, "i0");
+		comet_shards *shards = comet_shards_create(nullptr, vms[observer].instances);
 		comet_shards_for_service(shards, "llm");
-		uint32_t keeper = comet_gossip_find_owner(
-			vms[asker].gossip, any->shard, comet_hash_name("z"), now_us);
+		uint32_t owner = comet_gossip_find_owner(
+			vms[observer].gossip, any->shard, comet_hash_name("z"), now_us);
 		talloc_free(shards);
-		return keeper;
+		return owner;
 	}
 };
 
--- a/tests/unit/test_gateway_grants.cc
+++ b/tests/unit/test_gateway_grants.cc
@@ -1,6 +1,6 @@
 /*
  * test_gateway_grants.cc
- * shards, keepers and slots asked for, over several VMs under virtual time
+ * tests of shards, their owners and slot requests, with several VMs in virtual time
  */
 #include "grants_fleet.h"
 
@@ -11,7 +11,7 @@
 using grants_fleet::mail;
 using grants_fleet::slots;
 
-TEST(Shards, AreTheSameWhereverTheListIsRead)
+TEST(Shards, AllVmsFormTheSameShards)
 {
 	comet_instances *lists[2];
 	comet_shards *shards[2];
@@ -30,7 +30,7 @@
 	}
 	const GPtrArray *first = comet_shards_for_service(shards[0], "llm");
 	const GPtrArray *second = comet_shards_for_service(shards[1], "llm");
-	ASSERT_EQ(first->len, 4U); /* 100 in each zone, at most 64 in a shard */
+	ASSERT_EQ(first->len, 4U); /* 100 endpoints per availability zone, at most 64 per shard */
 	ASSERT_EQ(second->len, 4U);
 	guint members = 0;
 	for (guint i = 0; i < 4; i++)
@@ -54,30 +54,31 @@
 	talloc_free(lists[1]);
 }
 
-TEST(Keepers, AreAgreedOnAndNeitherYoungNorLeaving)
+TEST(ShardOwners, AllVmsAgreeAndSkipNewAndLeavingVms)
 {
 	fleet all(5, 4);
-	uint32_t keeper = all.keeper_of_all(1);
-	ASSERT_NE(keeper, 0U);
+	uint32_t owner = all.keeper_of_all(1);
+	ASSERT_NE(owner, 0U);
 	for (uint32_t vm = 2; vm <= 5; vm++)
-		EXPECT_EQ(all.keeper_of_all(vm), keeper);
-	comet_gossip_leave(all.vms[keeper].gossip, all.now_us);
+		EXPECT_EQ(all.keeper_of_all(vm), owner);
+	comet_gossip_leave(all.vms[owner].gossip, all.now_us);
 	all.deliver();
-	uint32_t other = keeper == 1 ? 2 : 1;
+	uint32_t other = owner == 1 ? 2 : 1;
 	uint32_t next = all.keeper_of_all(other);
-	EXPECT_NE(next, keeper);
+	EXPECT_NE(next, owner);
 	all.start(6, 4);
 	all.pass(1000000);
-	EXPECT_EQ(all.keeper_of_all(other), next) << "a young VM keeps nothing yet";
+	EXPECT_EQ(all.keeper_of_all(other), next) << "a new VM must not own shards yet";
 
-	fleet young(1, 4);
-	young.now_us = 5000000;
-	young.start(7, 4);
-	EXPECT_EQ(young.keeper_of_all(7), 0U);
+	fleet single(1, 4);
+	single.now_us = 5000000;
+	single.start(7, 4);
+	EXPECT_EQ(single.keeper_of_all(7), 0U);
 }
 
-/* After all have restarted, VMs chose by old views for three seconds, and filled the same slots. */
-TEST(Keepers, WhereAllAreYoungOneOfThemKeeps)
+/* When all VMs had restarted, no VM was old enough to own shards for three seconds. All VMs placed
+ * requests by outdated gossip and filled the same slots. */
+TEST(ShardOwners, OneNewVmIsSelectedWhenAllVmsAreNew)
 {
 	fleet all(3, 4);
 	for (uint32_t vm = 1; vm <= 3; vm++)
@@ -88,29 +89,29 @@
 	all.pass(300000);
 	EXPECT_EQ(all.keeper_of_all(1), 0U);
 	all.pass(300000);
-	uint32_t keeper = all.keeper_of_all(1);
-	EXPECT_NE(keeper, 0U);
-	EXPECT_EQ(all.keeper_of_all(2), keeper);
-	EXPECT_EQ(all.keeper_of_all(3), keeper);
+	uint32_t owner = all.keeper_of_all(1);
+	EXPECT_NE(owner, 0U);
+	EXPECT_EQ(all.keeper_of_all(2), owner);
+	EXPECT_EQ(all.keeper_of_all(3), owner);
 }
 
-TEST(Keepers, VmsWithMoreProcessorGoFirst)
+TEST(ShardOwners, VmsWithMoreCpuArePreferred)
 {
 	fleet all(4, 4);
 	const uint32_t strong = 5;
 	all.start(strong, 4, 400);
 	all.pass(2000000);
-	EXPECT_NE(all.keeper_of_all(1), strong) << "it is young still";
+	EXPECT_NE(all.keeper_of_all(1), strong) << "the VM is still too new";
 	all.pass(2000000);
 	for (uint32_t vm = 1; vm <= strong; vm++)
 		EXPECT_EQ(all.keeper_of_all(vm), strong);
 	fleet equal(4, 4);
 	equal.start(strong, 4);
 	equal.pass(4000000);
-	EXPECT_NE(equal.keeper_of_all(1), strong) << "drawn by score alone";
+	EXPECT_NE(equal.keeper_of_all(1), strong) << "with equal CPU only the hash score decides";
 }
 
-TEST(Grants, VmsThatAskDoNotFillTheSameSlots)
+TEST(Grants, SlotRequestsPreventOverfilledEndpoints)
 {
 	for (bool asks : {true, false})
 	{
@@ -123,13 +124,13 @@
 		if (asks)
 			EXPECT_EQ(all.most_at_one(), slots);
 		else
-			EXPECT_GT(all.most_at_one(), slots) << "views alone cannot tell";
+			EXPECT_GT(all.most_at_one(), slots) << "gossip alone cannot prevent it";
 	}
 }
 
-/* Plain requests were placed by views that were two seconds old: of six endpoints some were sent
- * more than they take, and refused, while others had slots free. */
-TEST(Grants, PlainRequestsOfManyVmsDoNotFillTheSameEndpoint)
+/* Requests without streaming were placed by gossip that was two seconds old. Some of six endpoints
+ * received more than they accept and refused requests, while others had free slots. */
+TEST(Grants, PlainRequestsOfManyVmsDoNotOverfillAnEndpoint)
 {
 	for (bool asks : {true, false})
 	{
@@ -140,13 +141,14 @@
 		all.deliver();
 		EXPECT_EQ(all.total(), 6 * 2 * slots);
 		if (asks)
-			EXPECT_EQ(all.most_at_one(), 2 * slots) << "a round may wait there";
+			EXPECT_EQ(all.most_at_one(), 2 * slots)
+				<< "as many requests as slots may queue there";
 		else
 			EXPECT_GT(all.most_at_one(), 2 * slots);
 	}
 }
 
-TEST(Grants, WhatIsDeniedWaitsAndGetsTheNextFreeSlot)
+TEST(Grants, DeniedRequestGetsTheNextReleasedSlot)
 {
 	fleet all(4, 2);
 	std::vector<comet_placement_item *> first;
@@ -154,17 +156,17 @@
 		first.push_back(all.submit(1));
 	all.deliver();
 	ASSERT_EQ(all.vms[1].sent.size(), 2 * slots);
-	comet_placement_item *late = all.submit(2);
+	comet_placement_item *waiting = all.submit(2);
 	all.pass(300000);
-	EXPECT_EQ(all.vms[2].sent.count(late), 0U);
+	EXPECT_EQ(all.vms[2].sent.count(waiting), 0U);
 	EXPECT_TRUE(all.vms[2].refused.empty());
 	all.end(1, first[0]);
 	all.pass(300000);
-	EXPECT_EQ(all.vms[2].sent.count(late), 1U);
+	EXPECT_EQ(all.vms[2].sent.count(waiting), 1U);
 	EXPECT_EQ(all.most_at_one(), slots);
 }
 
-TEST(Grants, UrgentRequestsMayWaitAtAnEndpointOthersNot)
+TEST(Grants, OnlyUrgentRequestsMayQueueAtAnEndpoint)
 {
 	fleet all(4, 2);
 	for (uint32_t i = 0; i < 2 * slots; i++)
@@ -177,37 +179,39 @@
 	EXPECT_EQ(all.vms[4].sent.count(other), 0U);
 }
 
-TEST(Grants, ADeadKeeperCostsMillisecondsOnly)
+TEST(Grants, UnreachableOwnerIsReplacedWithinMilliseconds)
 {
 	fleet all(5, 4);
-	uint32_t keeper = all.keeper_of_all(1);
-	uint32_t asker = keeper == 1 ? 2 : 1;
-	all.lost = [keeper](const mail &one) { return one.to == keeper || one.from == keeper; };
-	comet_placement_item *item = all.submit(asker);
+	uint32_t owner = all.keeper_of_all(1);
+	uint32_t requester = owner == 1 ? 2 : 1;
+	all.lost = [owner](const mail &one) { return one.to == owner || one.from == owner; };
+	comet_placement_item *item = all.submit(requester);
 	all.deliver();
-	EXPECT_EQ(all.vms[asker].sent.count(item), 0U);
+	EXPECT_EQ(all.vms[requester].sent.count(item), 0U);
 	all.pass(50000);
-	EXPECT_EQ(all.vms[asker].sent.count(item), 1U);
-	EXPECT_NE(item->keeper, 0U) << "the next best was asked in its place";
-	EXPECT_NE(item->keeper, keeper);
-	comet_placement_item *second = all.submit(asker);
+	EXPECT_EQ(all.vms[requester].sent.count(item), 1U);
+	EXPECT_NE(item->keeper, 0U) << "the slot was requested from the next VM in order";
+	EXPECT_NE(item->keeper, owner);
+	comet_placement_item *second = all.submit(requester);
 	all.deliver();
-	EXPECT_EQ(all.vms[asker].sent.count(second), 1U) << "it is not asked again at once";
-	EXPECT_NE(second->keeper, keeper);
+	EXPECT_EQ(all.vms[requester].sent.count(second), 1U)
+		<< "the unresponsive owner must not be asked again";
+	EXPECT_NE(second->keeper, owner);
 	all.pass(2000000);
-	EXPECT_NE(all.keeper_of_all(asker), keeper) << "another one keeps count by now";
+	EXPECT_NE(all.keeper_of_all(requester), owner) << "another VM must own the shard by now";
 }
 
-/* Found in a log: a VM that one keeper had not answered took all others for mute in the same
- * moment. */
-struct late_asker
+/* A slot request that was sent while expired ones were handled has a later time than the clock
+ * value of that pass. It expired at once, so that after one missing answer a VM took all owners for
+ * unresponsive. */
+struct retrying_vm
 {
 	comet_grants *grants = nullptr;
 	comet_placement_item item = {};
 	std::vector<uint32_t> unanswered;
 };
 
-TEST(Grants, AnAskBegunWhileOthersAreGivenUpIsAwaited)
+TEST(Grants, RequestSentDuringExpiryDoesNotExpireAtOnce)
 {
 	static const comet_grants_ops ops = {
 		[](void *, uint32_t, const uint8_t *, size_t) {},
@@ -215,21 +219,22 @@
 		[](void *, comet_placement_item *, uint32_t, uint32_t) {},
 		[](void *, comet_placement_item *, uint64_t) {},
 		[](void *, comet_placement_item *) {},
-		[](void *ctx, comet_placement_item *item, uint32_t keeper)
+		[](void *ctx, comet_placement_item *item, uint32_t owner)
 		{
-			auto *one = static_cast<late_asker *>(ctx);
-			comet_slot_request ask = {};
-			one->unanswered.push_back(keeper);
-			if (keeper < 4) /* some time has passed meanwhile */
-				comet_grants_request(one->grants, item, keeper + 1, &ask, 1040100);
+			auto *one = static_cast<retrying_vm *>(ctx);
+			comet_slot_request request = {};
+			one->unanswered.push_back(owner);
+			if (owner < 4) /* 100 us later than the time of the tick */
+				comet_grants_request(
+					one->grants, item, owner + 1, &request, 1040100);
 		},
 		[](void *, const comet_SlotAsk *, comet_placement_wait_estimate *) { return 0U; },
 		[](void *, const comet_SlotFreed *) {},
 	};
-	late_asker one;
-	comet_slot_request ask = {};
+	retrying_vm one;
+	comet_slot_request request = {};
 	one.grants = comet_grants_create(nullptr, 9, &ops, &one);
-	comet_grants_request(one.grants, &one.item, 1, &ask, 1000000);
+	comet_grants_request(one.grants, &one.item, 1, &request, 1000000);
 	EXPECT_TRUE(comet_grants_tick(one.grants, 1040000));
 	EXPECT_EQ(one.unanswered, std::vector<uint32_t>{1});
 	EXPECT_TRUE(comet_grants_is_unresponsive(one.grants, 1, 1040000));
@@ -237,131 +242,136 @@
 	talloc_free(one.grants);
 }
 
-/* A keeper that answers late, since it has used up its share of a core, is no dead one: for a
- * second all that one VM sent went by views. */
-TEST(Grants, AKeeperThatAnswersLateIsAskedAgain)
+/* An owner that has used up its CPU share answers late but is alive. It was treated as
+ * unresponsive, and for a second the requesting VM placed everything by gossip. */
+TEST(Grants, LateAnswerMarksTheOwnerResponsive)
 {
 	fleet all(5, 4);
-	uint32_t keeper = all.keeper_of_all(1);
-	uint32_t asker = keeper == 1 ? 2 : 1;
-	std::deque<mail> held;
+	uint32_t owner = all.keeper_of_all(1);
+	uint32_t requester = owner == 1 ? 2 : 1;
+	std::deque<mail> delayed;
 	all.lost = [&](const mail &one)
 	{
-		if (one.from != keeper || one.to != asker)
+		if (one.from != owner || one.to != requester)
 			return false;
-		held.push_back(one);
+		delayed.push_back(one);
 		return true;
 	};
-	all.submit(asker);
+	all.submit(requester);
 	all.pass(50000);
-	EXPECT_TRUE(comet_grants_is_unresponsive(all.vms[asker].grants, keeper, all.now_us));
+	EXPECT_TRUE(comet_grants_is_unresponsive(all.vms[requester].grants, owner, all.now_us));
 	all.lost = [](const mail &) { return false; };
-	for (const mail &one : held)
-		all.arrive(one);
-	EXPECT_FALSE(comet_grants_is_unresponsive(all.vms[asker].grants, keeper, all.now_us));
-	comet_placement_item *next = all.submit(asker);
+	for (const mail &one : delayed)
+		all.receive(one);
+	EXPECT_FALSE(comet_grants_is_unresponsive(all.vms[requester].grants, owner, all.now_us));
+	comet_placement_item *next = all.submit(requester);
 	all.deliver();
-	EXPECT_EQ(next->keeper, keeper);
+	EXPECT_EQ(next->keeper, owner);
 }
 
-TEST(Grants, AGrantThatNobodyWaitsForIsGivenBack)
+TEST(Grants, GrantForACancelledRequestIsReleased)
 {
 	fleet all(5, 1);
-	uint32_t keeper = all.keeper_of_all(1);
-	uint32_t asker = keeper == 1 ? 2 : 1;
-	comet_placement_item *item = all.submit(asker);
+	uint32_t owner = all.keeper_of_all(1);
+	uint32_t requester = owner == 1 ? 2 : 1;
+	comet_placement_item *item = all.submit(requester);
 	EXPECT_TRUE(item->asking);
-	comet_placement_cancel(all.vms[asker].placement, item); /* its caller left */
+	comet_placement_cancel(
+		all.vms[requester].placement, item); /* the caller has disconnected */
 	all.deliver();
-	EXPECT_TRUE(all.vms[asker].sent.empty());
-	const comet_instance *kept = comet_instances_find(all.vms[keeper].instances, "i0");
-	EXPECT_EQ(kept->others, 0U);
+	EXPECT_TRUE(all.vms[requester].sent.empty());
+	const comet_instance *instance = comet_instances_find(all.vms[owner].instances, "i0");
+	EXPECT_EQ(instance->others, 0U);
 	for (uint32_t i = 0; i < slots; i++)
-		all.submit(asker);
+		all.submit(requester);
 	all.deliver();
-	EXPECT_EQ(all.vms[asker].sent.size(), slots) << "all slots can be had";
+	EXPECT_EQ(all.vms[requester].sent.size(), slots) << "all slots must be available";
 }
 
-/* Whoever reaches the internal port can answer: a request must not leave its service for that. */
-TEST(Grants, AGrantOfAnotherServicesEndpointIsNotUsed)
+/* Any host that reaches the internal port can send a forged answer. It must not move a request to
+ * an endpoint of another service. */
+TEST(Grants, GrantForAnotherServiceIsRejected)
 {
 	fleet all(5, 2);
-	uint32_t keeper = all.keeper_of_all(1);
-	uint32_t asker = keeper == 1 ? 2 : 1;
+	uint32_t owner = all.keeper_of_all(1);
+	uint32_t requester = owner == 1 ? 2 : 1;
 	comet_instance_record record = {"p0", "app", "127.0.0.1:2", "z", slots, 0, false, 0};
 	const comet_instance *other =
-		comet_instances_put(all.vms[asker].instances, &record, all.now_us);
-	comet_placement_item *item = all.submit(asker);
+		comet_instances_put(all.vms[requester].instances, &record, all.now_us);
+	comet_placement_item *item = all.submit(requester);
 	comet_Datagram forged = {};
 	forged.which_body = comet_Datagram_answer_tag;
-	forged.body.answer = {keeper, 1, other->key, false, 0};
-	comet_grants_receive(all.vms[asker].grants, &forged);
+	forged.body.answer = {owner, 1, other->key, false, 0};
+	comet_grants_receive(all.vms[requester].grants, &forged);
 	all.deliver();
-	ASSERT_EQ(all.vms[asker].sent.count(item), 1U);
-	EXPECT_EQ(all.vms[asker].sent[item][0], 'i') << "one of its own service";
+	ASSERT_EQ(all.vms[requester].sent.count(item), 1U);
+	EXPECT_EQ(all.vms[requester].sent[item][0], 'i')
+		<< "the endpoint must belong to the service of the request";
 }
 
-/* A keeper that has not heard of an endpoint's new start grants a slot of its earlier life, and is
- * told of slots of that life when it has: neither counts for the later one. */
-TEST(Grants, AGrantOfAnEarlierLifeIsOfNoLaterOne)
+/* An owner that does not know of the restart of an endpoint grants slots of its earlier
+ * incarnation, and later receives releases of these slots. Neither may count for the new
+ * incarnation. */
+TEST(Grants, GrantForAnEarlierIncarnationDoesNotCount)
 {
 	fleet all(5, 1);
-	uint32_t keeper = all.keeper_of_all(1);
-	uint32_t asker = keeper == 1 ? 2 : 1;
+	uint32_t owner = all.keeper_of_all(1);
+	uint32_t requester = owner == 1 ? 2 : 1;
 	comet_instance_record later = {"i0", "llm", "127.0.0.1:1", "z", slots, 0, false, 2000};
-	comet_placement_item *before = all.submit(asker);
+	comet_placement_item *before = all.submit(requester);
 	all.deliver();
-	ASSERT_EQ(all.vms[asker].sent.count(before), 1U);
-	const comet_instance *known = comet_instances_find(all.vms[keeper].instances, "i0");
+	ASSERT_EQ(all.vms[requester].sent.count(before), 1U);
+	const comet_instance *known = comet_instances_find(all.vms[owner].instances, "i0");
 	EXPECT_EQ(known->others, 1U);
 	uint32_t earlier = known->key;
 
-	/* the asker has heard of the new start */
+	/* The requesting VM knows of the restart. */
 	const comet_instance *now =
-		comet_instances_put(all.vms[asker].instances, &later, all.now_us);
-	comet_placement_item *item = all.submit(asker);
+		comet_instances_put(all.vms[requester].instances, &later, all.now_us);
+	comet_placement_item *item = all.submit(requester);
 	all.deliver();
-	EXPECT_EQ(all.vms[asker].sent.count(item), 1U);
-	EXPECT_EQ(item->keeper, 0U) << "the grant was given back";
+	EXPECT_EQ(all.vms[requester].sent.count(item), 1U);
+	EXPECT_EQ(item->keeper, 0U) << "the grant must be released";
 	EXPECT_EQ(known->others, 1U);
 	EXPECT_EQ(now->own, 1U);
 
-	/* and now the keeper, which is then told that a slot of the earlier life is free */
-	known = comet_instances_put(all.vms[keeper].instances, &later, all.now_us);
+	/* The owner learns of the restart, and then receives a release of the earlier incarnation.
+	 */
+	known = comet_instances_put(all.vms[owner].instances, &later, all.now_us);
 	EXPECT_EQ(comet_instance_owned_load(known, all.now_us), 0U);
-	comet_gossip_slot_granted(all.vms[keeper].gossip, asker, known->key, 100, all.now_us);
-	comet_grants_release(all.vms[asker].grants, keeper, earlier, nullptr);
+	comet_gossip_slot_granted(all.vms[owner].gossip, requester, known->key, 100, all.now_us);
+	comet_grants_release(all.vms[requester].grants, owner, earlier, nullptr);
 	all.deliver();
 	EXPECT_EQ(comet_instance_owned_load(known, all.now_us), 1U);
-	comet_grants_release(all.vms[asker].grants, keeper, known->key, nullptr);
+	comet_grants_release(all.vms[requester].grants, owner, known->key, nullptr);
 	all.deliver();
 	EXPECT_EQ(comet_instance_owned_load(known, all.now_us), 0U);
 }
 
-TEST(Grants, LostWordsOfFreedSlotsAreMadeGoodByViews)
+TEST(Grants, GossipCorrectsLostReleases)
 {
 	fleet all(5, 1);
-	uint32_t keeper = all.keeper_of_all(1);
-	uint32_t asker = keeper == 1 ? 2 : 1;
+	uint32_t owner = all.keeper_of_all(1);
+	uint32_t requester = owner == 1 ? 2 : 1;
 	std::vector<comet_placement_item *> first;
 	for (uint32_t i = 0; i < slots; i++)
-		first.push_back(all.submit(asker));
+		first.push_back(all.submit(requester));
 	all.deliver();
 	all.lost = [](const mail &) { return true; };
 	for (auto *item : first)
-		all.end(asker, item);
+		all.end(requester, item);
 	all.deliver();
 	all.lost = [](const mail &) { return false; };
 	all.pass(500000);
-	comet_placement_item *next = all.submit(asker);
+	comet_placement_item *next = all.submit(requester);
 	all.deliver();
-	EXPECT_EQ(all.vms[asker].sent.count(next), 1U);
+	EXPECT_EQ(all.vms[requester].sent.count(next), 1U);
 }
 
-/* A quarter of the endpoints crashed, and the keeper, which had sent nothing there itself, went on
- * granting their slots, which looked free: each VM found out for itself, and requests that met four
- * of them were refused. */
-TEST(Grants, AKeeperHearsOfCrashedEndpointsFromWhoeverWasSentThere)
+/* A quarter of the endpoints had crashed. The owner had dispatched nothing there itself and went on
+ * granting their slots, which seemed free. Each VM had to detect the crashes itself, and requests
+ * that reached four crashed endpoints were refused. */
+TEST(Grants, OwnerEjectsEndpointsThatOthersReportUnreachable)
 {
 	constexpr int endpoints = 8;
 	fleet all(20, endpoints);
@@ -386,9 +396,9 @@
 		all.deliver();
 		all.pass(100000);
 	}
-	/* one round, and a trial of each some times in three seconds */
+	/* The requests of one round, and a few probes of each endpoint in three seconds. */
 	EXPECT_LE(unreached, 2 * slots + 2 * 3);
-	/* they are up again: a trial shows it */
+	/* The endpoints are up again, which a probe detects. */
 	all.pass(6000000);
 	std::set<std::string> used;
 	for (int round = 0; round < 20; round++)
@@ -410,31 +420,31 @@
 	EXPECT_EQ(used.size(), (size_t)endpoints);
 }
 
-TEST(Grants, AKeeperLearnsSpeedsFromWhatOthersTell)
+TEST(Grants, OwnerLearnsLatencyFromReleases)
 {
 	fleet all(5, 2);
-	uint32_t keeper = all.keeper_of_all(1);
-	uint32_t asker = keeper == 1 ? 2 : 1;
+	uint32_t owner = all.keeper_of_all(1);
+	uint32_t requester = owner == 1 ? 2 : 1;
 	for (int round = 0; round < 40; round++)
 	{
 		for (int i = 0; i < 2; i++)
 		{
-			comet_placement_item *item = all.submit(asker);
+			comet_placement_item *item = all.submit(requester);
 			all.deliver();
-			ASSERT_EQ(all.vms[asker].sent.count(item), 1U);
+			ASSERT_EQ(all.vms[requester].sent.count(item), 1U);
 			/* i1 takes three times as long as i0 */
-			bool slow = all.vms[asker].sent[item] == "i1";
-			all.end(asker, item, 11, slow ? 300000 : 100000);
+			bool slow = all.vms[requester].sent[item] == "i1";
+			all.end(requester, item, 11, slow ? 300000 : 100000);
 			all.deliver();
 		}
 		all.pass(50000);
 	}
-	const comet_instance *slow = comet_instances_find(all.vms[keeper].instances, "i1");
-	const comet_instance *fast = comet_instances_find(all.vms[keeper].instances, "i0");
+	const comet_instance *slow = comet_instances_find(all.vms[owner].instances, "i1");
+	const comet_instance *fast = comet_instances_find(all.vms[owner].instances, "i0");
 	EXPECT_GT(slow->pace, 1.5 * fast->pace);
-	comet_placement_item *next = all.submit(asker);
+	comet_placement_item *next = all.submit(requester);
 	all.deliver();
-	EXPECT_EQ(all.vms[asker].sent[next], "i0");
+	EXPECT_EQ(all.vms[requester].sent[next], "i0");
 }
 
 } // namespace
--- a/tests/unit/test_gateway_orders.cc
+++ b/tests/unit/test_gateway_orders.cc
@@ -1,9 +1,9 @@
 /*
  * test_gateway_orders.cc
- * all orders of a few messages between VMs, with losses, pauses and callers that leave
+ * tests all orders of a few messages between VMs, with losses, delays and callers that disconnect
  *
- * A run is repeated with every sequence of choices, depth first; each choice is
- * which datagram arrives next, which one is lost, or what else happens then.
+ * A scenario is run once for every sequence of choices, in depth-first order. Each choice selects
+ * the datagram that arrives next, the one that is lost, or another event.
  */
 #include "grants_fleet.h"
 
@@ -17,16 +17,16 @@
 using grants_fleet::mail;
 using grants_fleet::slots;
 
-/* Walks through all sequences of choices. */
-class walk
+/* Enumerates all sequences of choices in depth-first order. */
+class choice_explorer
 {
       public:
 	uint64_t runs = 0;
 	uint64_t choices = 0;
 
-	/* One of count ways to go on from here. */
+	/* Returns the choice of this run among count alternatives. */
 	size_t
-	pick(size_t count)
+	choose(size_t count)
 	{
 		choices++;
 		if (depth == path.size())
@@ -34,7 +34,7 @@
 		return path[depth++].first;
 	}
 
-	/* Starts the next run. @return false when all have been made */
+	/* Starts the next run. @return false when all sequences have been run */
 	bool
 	next()
 	{
@@ -50,104 +50,112 @@
 	}
 
       private:
+	/* The choice and the number of alternatives at each depth. */
 	std::vector<std::pair<size_t, size_t>> path;
 	size_t depth = 0;
 };
 
-/* What may still happen beside the arrival of datagrams. */
-struct events
+/* How many events may still happen besides the arrival of datagrams. */
+struct event_budget
 {
 	int losses;
 	int pauses;
-	int leaves;
+	int disconnects;
 };
 
-/* Goes on by one choice. @return false when nothing is left to choose */
+/* Executes one event that the explorer selects. @return false when no event is possible */
 bool
-step(walk &all, fleet &vms, events &left, uint32_t leaver, comet_placement_item *leaving)
+step(choice_explorer &explorer, fleet &vms, event_budget &budget, uint32_t leaving_vm,
+	comet_placement_item *leaving_item)
 {
-	size_t arrivals = vms.post.size();
-	size_t losses = left.losses > 0 ? arrivals : 0;
-	size_t count = arrivals + losses + (left.pauses > 0 ? 1 : 0) + (left.leaves > 0 ? 1 : 0);
+	size_t arrivals = vms.in_flight.size();
+	size_t losses = budget.losses > 0 ? arrivals : 0;
+	size_t count =
+		arrivals + losses + (budget.pauses > 0 ? 1 : 0) + (budget.disconnects > 0 ? 1 : 0);
 
 	if (count == 0)
 		return false;
-	size_t chosen = all.pick(count);
+	size_t chosen = explorer.choose(count);
 	if (chosen < arrivals + losses)
 	{
 		size_t at = chosen % arrivals;
-		mail one = vms.post[at];
-		vms.post.erase(vms.post.begin() + (long)at);
+		mail one = vms.in_flight[at];
+		vms.in_flight.erase(vms.in_flight.begin() + (long)at);
 		if (chosen < arrivals)
-			vms.arrive(one);
+			vms.receive(one);
 		else
-			left.losses--;
+			budget.losses--;
 		return true;
 	}
-	if (chosen == arrivals + losses && left.pauses > 0)
+	if (chosen == arrivals + losses && budget.pauses > 0)
 	{
-		left.pauses--;
-		vms.pass(50000); /* longer than an ask is waited for */
+		budget.pauses--;
+		vms.pass(50000); /* longer than the timeout of a slot request */
 		return true;
 	}
-	left.leaves--;
-	if (vms.vms[leaver].sent.count(leaving) > 0)
-		vms.end(leaver, leaving);
+	budget.disconnects--;
+	if (vms.vms[leaving_vm].sent.count(leaving_item) > 0)
+		vms.end(leaving_vm, leaving_item);
 	else
-		comet_placement_cancel(vms.vms[leaver].placement, leaving);
+		comet_placement_cancel(vms.vms[leaving_vm].placement, leaving_item);
 	return true;
 }
 
-/* Two VMs ask for the last slot, one of the callers may leave, a datagram may be lost. */
-TEST(Orders, AskedSlotsAreNeitherLostNorUsedTwice)
+/* Two VMs request the last slot. One of the callers may disconnect and a datagram may be lost. */
+TEST(MessageOrders, SlotsAreNeitherLostNorGrantedTwice)
 {
-	walk all;
-	uint64_t both = 0;
+	choice_explorer explorer;
+	uint64_t both_dispatched = 0;
 
-	while (all.next())
+	while (explorer.next())
 	{
 		fleet vms(3, 1);
-		uint32_t keeper = vms.keeper_of_all(1);
-		uint32_t first = keeper == 1 ? 2 : 1;
-		uint32_t second = keeper == 3 ? 2 : 3;
+		uint32_t owner = vms.keeper_of_all(1);
+		uint32_t first = owner == 1 ? 2 : 1;
+		uint32_t second = owner == 3 ? 2 : 3;
 		std::vector<comet_placement_item *> before;
 		for (uint32_t i = 0; i + 1 < slots; i++)
-			before.push_back(vms.submit(keeper));
+			before.push_back(vms.submit(owner));
 		comet_placement_item *one = vms.submit(first);
 		comet_placement_item *other = vms.submit(second);
-		events left = {1, 1, 1};
-		while (step(all, vms, left, first, one))
+		event_budget budget = {1, 1, 1};
+		while (step(explorer, vms, budget, first, one))
 			;
-		both += vms.vms[first].sent.count(one) + vms.vms[second].sent.count(other) == 2;
+		both_dispatched +=
+			vms.vms[first].sent.count(one) + vms.vms[second].sent.count(other) == 2;
 		ASSERT_LE(vms.vms[first].dispatches[one], 1);
 		ASSERT_LE(vms.vms[second].dispatches[other], 1);
 		ASSERT_TRUE(vms.vms[second].refused.empty());
-		vms.pass(700000); /* whatever was lost is made good by views */
-		ASSERT_EQ(vms.vms[second].dispatches[other], 1) << "the other one is served";
+		vms.pass(700000); /* gossip corrects the effects of lost datagrams */
+		ASSERT_EQ(vms.vms[second].dispatches[other], 1)
+			<< "the request of the other VM must be served";
 		for (auto *item : before)
-			vms.end(keeper, item);
+			vms.end(owner, item);
 		vms.end(second, other);
 		vms.deliver();
 		vms.pass(700000);
 		ASSERT_EQ(vms.total(), 0U);
-		const comet_instance *kept = comet_instances_find(vms.vms[keeper].instances, "i0");
-		ASSERT_EQ(kept->own + kept->others, 0U) << "the keeper counts nothing any more";
+		const comet_instance *instance =
+			comet_instances_find(vms.vms[owner].instances, "i0");
+		ASSERT_EQ(instance->own + instance->others, 0U)
+			<< "the owner must count no used slots";
 	}
-	printf("asks: %lu runs, %lu choices, %lu with both sent\n", (unsigned long)all.runs - 1,
-		(unsigned long)all.choices, (unsigned long)both);
-	EXPECT_GT(all.runs, 100U);
+	printf("slot requests: %lu runs, %lu choices, %lu with both requests dispatched\n",
+		(unsigned long)explorer.runs - 1, (unsigned long)explorer.choices,
+		(unsigned long)both_dispatched);
+	EXPECT_GT(explorer.runs, 100U);
 }
 
-/* Lets every VM spend as much as it believes is left, in requests of so many tokens. */
+/* Every VM spends what it takes for the remaining quota, in up to n_requests requests. */
 double
-spend_all(fleet &vms, uint64_t tokens, int at_once)
+spend_all(fleet &vms, uint64_t tokens, int n_requests)
 {
 	uint32_t team = comet_hash_name("t");
 	double spent = 0;
 
 	for (auto &one : vms.vms)
 	{
-		for (int i = 0; i < at_once; i++)
+		for (int i = 0; i < n_requests; i++)
 		{
 			if (comet_rate_limiter_spend(one.second.rate_limiter, team, 0, tokens,
 				    COMET_RATE_LIMITER_GOSSIP, vms.now_us) == 0)
@@ -157,29 +165,31 @@
 	return spent;
 }
 
-/* Three VMs spend what a team may, as fast as they believe they can, while views are lost. */
-TEST(Orders, ATeamsLimitHoldsWhateverViewsAreLost)
+/* Three VMs spend the quota of a team as fast as their rate limiters allow, while views are lost.
+ */
+TEST(MessageOrders, TeamLimitHoldsWhenViewsAreLost)
 {
-	constexpr double limit = 9000; /* 1000 a second over 8 s, and a burst of 1000 */
+	constexpr double limit = 9000; /* 1000 tokens/s over 8 s, and a burst of 1000 */
 	constexpr double overage = 0.25;
-	walk all;
-	double most = 0;
+	choice_explorer explorer;
+	double most_spent = 0;
 
-	while (all.next())
+	while (explorer.next())
 	{
 		fleet vms(3, 1);
 		double spent = 0;
 		int losses = 2;
 		vms.lost = [&](const mail &)
 		{
-			bool is_lost = losses > 0 && all.pick(2) == 1;
+			bool is_lost = losses > 0 && explorer.choose(2) == 1;
 			losses -= is_lost ? 1 : 0;
 			return is_lost;
 		};
-		int kept = losses;
+		int saved_losses = losses;
 		losses = 0;
-		vms.pass(9000000); /* longer than a span: nothing is assumed of the time before */
-		losses = kept;
+		vms.pass(9000000); /* longer than the window, so that no spending before the start
+				      is assumed */
+		losses = saved_losses;
 		for (int round = 0; round < 4; round++)
 		{
 			spent += spend_all(vms, 300, 3);
@@ -188,12 +198,13 @@
 				comet_gossip_tick(one.second.gossip, vms.now_us);
 			vms.deliver();
 		}
-		most = std::max(most, spent);
+		most_spent = std::max(most_spent, spent);
 		ASSERT_LE(spent, limit * (1 + overage));
 	}
-	printf("views: %lu runs, %lu choices, most spent %.0f of %.0f\n",
-		(unsigned long)all.runs - 1, (unsigned long)all.choices, most, limit);
-	EXPECT_GT(all.runs, 100U);
+	printf("views: %lu runs, %lu choices, at most %.0f of %.0f tokens spent\n",
+		(unsigned long)explorer.runs - 1, (unsigned long)explorer.choices, most_spent,
+		limit);
+	EXPECT_GT(explorer.runs, 100U);
 }
 
 } // namespace
