--- a/tests/unit/grants_fleet.h
+++ b/tests/unit/grants_fleet.h
@@ -48,7 +48,8 @@
 	std::map<comet_placement_item *, int> dispatches;   /* total count per item */
 	std::set<comet_placement_item *> refused;
 
-	/* Returns the address of the highest-ranked VM that is not unresponsive. */
+	/* Returns the owner of a shard: the VM that rendezvous hashing selects among those that are
+	 * not unresponsive. Returns 0 when there is none. */
 	uint32_t
 	find_owner(const comet_shard *shard, uint64_t now_us) const
 	{
