--- a/libcometspindle/adapters/gateway/gateway.c
+++ b/libcometspindle/adapters/gateway/gateway.c
@@ -1,6 +1,6 @@
 /*
  * gateway.c
- * a VM that relays plain HTTP: reads its routes and endpoints from a directory
+ * the gateway process: sockets, signals, the event loop and the shutdown of a plain HTTP proxy
  */
 #include <libcometspindle/adapters/gateway/gateway_crashes.h>
 
@@ -14,59 +14,61 @@
 #include <string.h>
 #include <talloc.h>
 
-/* How often waiting requests, views and silent VMs are looked at: half the shortest interval of
- * views. */
+/* Interval of the periodic work on queued requests, gossip and unreachable VMs: half the shortest
+ * gossip interval. */
 #define TICK_US 50000
 
-/* A stop ends this long before the process would be killed. */
+/* A shutdown ends this long before the end of the grace period, when the process would be killed.
+ */
 #define STOP_MARGIN_US 400000
 
-/* Answers to other VMs and to the readiness check are small and quick. */
-#define SMALL_TIMEOUT_MS 3000
-#define SMALL_HEADER_BYTES (16 * 1024)
+/* Requests of other VMs and of the readiness check are small and arrive quickly. */
+#define HEADER_TIMEOUT_MS 3000
+#define HEADER_BYTES_MAX (16 * 1024)
 #define IDLE_TIMEOUT_MS 20000
 
-/* What is asked on the internal addresses has no body. */
-#define INTERNAL_BODY_BYTES 0
+/* Requests on the internal addresses have no body. */
+#define INTERNAL_BODY_BYTES_MAX 0
 
-/* Bounds of what is asked on the internal addresses. */
+/* Limits for requests on the internal addresses. */
 static const struct comet_http_limits internal_limits = {
-	.header_bytes = SMALL_HEADER_BYTES,
-	.body_bytes = INTERNAL_BODY_BYTES,
-	.header_timeout_ms = SMALL_TIMEOUT_MS,
+	.header_bytes = HEADER_BYTES_MAX,
+	.body_bytes = INTERNAL_BODY_BYTES_MAX,
+	.header_timeout_ms = HEADER_TIMEOUT_MS,
 	.idle_timeout_ms = IDLE_TIMEOUT_MS,
 };
 
-/* Bounds before the first routing document is read. */
-static const struct comet_http_limits first_limits = {
-	.header_bytes = SMALL_HEADER_BYTES,
+/* Limits for callers until the first routing document is in force. */
+static const struct comet_http_limits initial_limits = {
+	.header_bytes = HEADER_BYTES_MAX,
 	.body_bytes = 4 * 1024 * 1024,
-	.header_timeout_ms = SMALL_TIMEOUT_MS,
+	.header_timeout_ms = HEADER_TIMEOUT_MS,
 	.idle_timeout_ms = IDLE_TIMEOUT_MS,
 };
 
-/* A process that starts has found the others once no new one has come up for some rounds of views,
- * and at the latest after the second time. Until then it shares sums with at least so many: all may
- * have started at once, and each knows only itself. */
-#define FOUND_AFTER_US 200000
-#define FOUND_AFTER_ROUNDS 2
-#define FIND_LONGEST_US 4000000
-#define VMS_ASSUMED 128
-
-/* A turn of the loop takes milliseconds, and waits for a tick at most: one of this length shows
- * that the process did not run. */
-#define AWAY_US 400000
-
-/* What arrived while it was away is handled for so long before timers are: reading all connections
- * of a busy VM takes a few milliseconds. */
+/* After the start, discovery is complete once no further VM has appeared for the quiet time or for
+ * some gossip rounds, and at the latest after DISCOVERY_MAX_US. Until then this VM divides shared
+ * limits by at least DISCOVERY_ASSUMED_VMS: all VMs may have started at once, and each would count
+ * only itself. */
+#define DISCOVERY_QUIET_US 200000
+#define DISCOVERY_QUIET_ROUNDS 2
+#define DISCOVERY_MAX_US 4000000
+#define DISCOVERY_ASSUMED_VMS 128
+
+/* An iteration of the event loop takes milliseconds and waits for a tick at most. A longer one
+ * shows that the process did not run. */
+#define PAUSE_MIN_US 400000
+
+/* After a pause, input is handled for this time before timers fire, so that an answer that has
+ * arrived precedes its deadline. Reading all connections of a busy VM takes a few milliseconds. */
 #define CATCH_UP_US 20000
 
-/* Bounds of the time for which a reader of the directory is followed: some of its calls, and less
- * than a change may take to be in force. */
-#define FOLLOWED_MIN_MS 500
-#define FOLLOWED_MAX_MS 2000
+/* Bounds of the time for which a directory reader is followed after its last answer: it covers
+ * several calls of the reader, and is shorter than a change may take to be in force. */
+#define READER_TIMEOUT_MIN_MS 500
+#define READER_TIMEOUT_MAX_MS 2000
 
-/* Most seeds that a settings file names usefully. */
+/* More seeds than this are of no use: further ones in the settings are ignored. */
 #define SEEDS_MAX 16
 
 static void
@@ -89,7 +91,7 @@
 }
 
 static void
-send_view(void *ctx, uint32_t address, const uint8_t *data, size_t length)
+send_gossip(void *ctx, uint32_t address, const uint8_t *data, size_t length)
 {
 	struct comet_gateway *gateway = ctx;
 
@@ -106,9 +108,10 @@
 		there ? "heard" : "lost", comet_datagram_socket_format_address(address, text), why);
 }
 
-static const struct comet_gossip_ops views_ops = {.send = send_view, .changed = on_vm_changed};
+static const struct comet_gossip_ops gossip_ops = {.send = send_gossip, .changed = on_vm_changed};
 
-/* Goes on with a stop: closes what is idle, and ends once nothing is open. */
+/* Continues a shutdown: closes idle connections, and ends the loop once nothing is open or the
+ * grace period is nearly over. */
 static void
 continue_stop(struct comet_gateway *gateway, uint64_t now_us)
 {
@@ -126,13 +129,14 @@
 		return;
 	comet_log(COMET_LOG_NOTICE, "event=stopped open=%u after_ms=%" G_GUINT64_FORMAT,
 		gateway->calls, passed_us / 1000);
-	gateway->over = true;
+	gateway->stopped = true;
 }
 
-/* Is this process still finding out who else is there? One that has heard nobody is, as long as its
- * seeds may only be late: taken for the only VM, it spent all of each team's limit by itself. */
+/* Returns whether this process is still discovering other VMs. A VM that has heard from none of the
+ * known VMs keeps discovering, since its seeds may only be late: when it took itself for the only
+ * VM, it spent the whole limit of each team alone. */
 static bool
-is_finding(struct comet_gateway *gateway, uint32_t heard, uint32_t known, uint64_t now_us)
+is_discovering(struct comet_gateway *gateway, uint32_t heard, uint32_t known, uint64_t now_us)
 {
 	if (heard > gateway->peak_alive_vms)
 	{
@@ -140,26 +144,27 @@
 		gateway->discovered_us = heard > 1 ? now_us : 0;
 	}
 	uint64_t last_us = MAX(gateway->discovered_us, gateway->began_us);
-	uint64_t quiet_us =
-		MAX(FOUND_AFTER_US, FOUND_AFTER_ROUNDS * comet_gossip_interval_us(gateway->gossip));
+	uint64_t quiet_us = MAX(DISCOVERY_QUIET_US,
+		DISCOVERY_QUIET_ROUNDS * comet_gossip_interval_us(gateway->gossip));
 	bool unheard = heard < known && gateway->discovered_us == 0;
 	return (now_us - last_us < quiet_us || unheard) &&
-	       now_us - gateway->began_us < FIND_LONGEST_US;
+	       now_us - gateway->began_us < DISCOVERY_MAX_US;
 }
 
-/* Shares sums with the VMs that there are, or must be taken to be there. */
+/* Sets the numbers of VMs among which shared limits are divided; during discovery, assumed ones. */
 static void
 set_vms(struct comet_gateway *gateway, uint32_t heard, uint32_t known, uint64_t now_us)
 {
-	bool discovering = is_finding(gateway, heard, known, now_us);
+	bool discovering = is_discovering(gateway, heard, known, now_us);
 
 	if (gateway->discovering && !discovering)
-		comet_log(COMET_LOG_NOTICE, "event=vms_found vms=%u after_ms=%" G_GUINT64_FORMAT,
-			known, (now_us - gateway->began_us) / 1000);
+		comet_log(COMET_LOG_NOTICE,
+			"event=discovery_complete vms=%u after_ms=%" G_GUINT64_FORMAT, known,
+			(now_us - gateway->began_us) / 1000);
 	gateway->discovering = discovering;
 	if (discovering)
 	{
-		known = MAX(known, VMS_ASSUMED);
+		known = MAX(known, DISCOVERY_ASSUMED_VMS);
 		heard = known;
 	}
 	comet_rate_limiter_set_vms(gateway->rate_limiter, heard, known,
@@ -230,19 +235,19 @@
 	g_free(text);
 	if (settings == NULL)
 	{
-		comet_log(
-			COMET_LOG_ERR, "event=reload_failed error=\"%s\" kept=old", error->message);
+		comet_log(COMET_LOG_ERR, "event=reload_failed error=\"%s\" settings=unchanged",
+			error->message);
 		g_clear_error(&error);
 		return;
 	}
-	/* Addresses cannot change in a running process; the log's level and bounds can. */
+	/* Addresses cannot change in a running process; the log level and the log budget can. */
 	comet_log_set_level((enum comet_log_level)settings->log_level);
 	comet_log_set_budget(settings->log_lines_per_s);
 	comet_log(COMET_LOG_NOTICE, "event=reloaded path=%s", gateway->settings_path);
 	talloc_free(settings);
 }
 
-/* Reads the addresses of the seeds; their ports are those of another service. */
+/* Parses the seed addresses. Their ports are ignored: they belong to another service. */
 static size_t
 read_seeds(const char *text, uint32_t seeds[SEEDS_MAX])
 {
@@ -264,7 +269,7 @@
 }
 
 static void
-create_views(struct comet_gateway *gateway)
+create_gossip(struct comet_gateway *gateway)
 {
 	uint32_t seeds[SEEDS_MAX];
 	struct comet_gossip_config config = {
@@ -282,14 +287,14 @@
 
 	randombytes_buf(&config.incarnation, sizeof config.incarnation);
 	gateway->gossip = comet_gossip_create(
-		gateway, &config, gateway->instances, gateway->rate_limiter, &views_ops, gateway);
+		gateway, &config, gateway->instances, gateway->rate_limiter, &gossip_ops, gateway);
 	gateway->grants =
 		comet_grants_create(gateway, config.address, &comet_gateway_grants_ops, gateway);
 	gateway->charges = comet_quota_requests_create(
 		gateway, config.address, &comet_gateway_quota_ops, gateway);
 }
 
-/* Opens what the gateway listens on. @return false with error set. */
+/* Opens the listening sockets. @return false with error set. */
 static bool
 open_sockets(struct comet_gateway *gateway, GError **error)
 {
@@ -311,7 +316,7 @@
 		gateway->callers, &gateway->bytes[COMET_GATEWAY_USE_CALLERS]);
 	comet_http_server_set_byte_counters(
 		gateway->control, &gateway->bytes[COMET_GATEWAY_USE_PEERS]);
-	comet_http_server_set_limits(gateway->callers, &first_limits);
+	comet_http_server_set_limits(gateway->callers, &initial_limits);
 	comet_http_server_set_limits(gateway->readiness, &internal_limits);
 	comet_http_server_set_limits(gateway->control, &internal_limits);
 	gateway->link = comet_datagram_socket_create(
@@ -319,17 +324,17 @@
 	return gateway->link != NULL;
 }
 
-/* How long a VM that reads the directory for others is followed after the directory has answered
- * it: a quarter of the time in which the directory's word is whole again after trouble, so that who
- * loses its readers then has read for itself in half of that. */
+/* Returns how long a directory reader is followed after the directory last answered it. This is a
+ * quarter of the time in which the directory is complete again after an outage, so that a follower
+ * that loses its readers has read the directory itself within half of that time. */
 static uint32_t
 followed_ms(const struct comet_gateway_settings *settings)
 {
-	return CLAMP(settings->settled_ms / 4, FOLLOWED_MIN_MS, FOLLOWED_MAX_MS);
+	return CLAMP(settings->settled_ms / 4, READER_TIMEOUT_MIN_MS, READER_TIMEOUT_MAX_MS);
 }
 
 static void
-create_decisions(struct comet_gateway *gateway)
+create_components(struct comet_gateway *gateway)
 {
 	const struct comet_gateway_settings *settings = gateway->settings;
 
@@ -376,8 +381,8 @@
 		comet_gateway_destroy(gateway);
 		return NULL;
 	}
-	create_decisions(gateway);
-	create_views(gateway);
+	create_components(gateway);
+	create_gossip(gateway);
 	struct comet_directory_context context = {
 		.ev = gateway->ev,
 		.timers = gateway->timers,
@@ -395,22 +400,23 @@
 	return gateway;
 }
 
-/* For how long the VM was suspended since it started: CLOCK_MONOTONIC does not count that. */
+/* Returns how long the VM has been suspended since it booted: CLOCK_MONOTONIC does not count that
+ * time. */
 static uint64_t
 suspended_us(uint64_t now_us)
 {
 	return now_us - MIN(comet_now_us(CLOCK_MONOTONIC), now_us);
 }
 
-/* The process did not run, whether it was stopped or its VM suspended. */
+/* Handles a pause: the process was stopped or its VM suspended. */
 static void
-was_away(struct comet_gateway *gateway, uint64_t now_us)
+handle_pause(struct comet_gateway *gateway, uint64_t now_us)
 {
 	uint64_t all_us = suspended_us(now_us);
 
 	comet_log(COMET_LOG_WARNING,
-		"event=was_away away_ms=%" G_GUINT64_FORMAT " suspended_ms=%" G_GUINT64_FORMAT
-		" clock=boottime",
+		"event=process_paused paused_ms=%" G_GUINT64_FORMAT
+		" suspended_ms=%" G_GUINT64_FORMAT " clock=boottime",
 		(now_us - gateway->last_loop_us) / 1000,
 		(all_us - MIN(gateway->suspended_us, all_us)) / 1000);
 	gateway->suspended_us = all_us;
@@ -418,17 +424,17 @@
 	comet_timers_hold(gateway->timers, CATCH_UP_US);
 }
 
-/* Looks, each time the loop has waited, whether the process was away since it did so last. */
+/* Detects a pause of the process each time the event loop has waited. */
 static void
-on_turn(enum tevent_trace_point point, void *data)
+on_loop_event(enum tevent_trace_point point, void *data)
 {
 	struct comet_gateway *gateway = data;
 
 	if (point != TEVENT_TRACE_AFTER_WAIT)
 		return;
 	uint64_t now_us = comet_timers_now_us();
-	if (gateway->last_loop_us != 0 && now_us - gateway->last_loop_us >= AWAY_US)
-		was_away(gateway, now_us);
+	if (gateway->last_loop_us != 0 && now_us - gateway->last_loop_us >= PAUSE_MIN_US)
+		handle_pause(gateway, now_us);
 	gateway->last_loop_us = now_us;
 }
 
@@ -441,8 +447,8 @@
 	gateway->directory->ops->start(gateway->directory);
 	comet_timers_add(gateway->timers, gateway, 0, on_tick, gateway);
 	gateway->suspended_us = suspended_us(comet_timers_now_us());
-	tevent_set_trace_callback(gateway->ev, on_turn, gateway);
-	while (!gateway->over && tevent_loop_once(gateway->ev) == 0)
+	tevent_set_trace_callback(gateway->ev, on_loop_event, gateway);
+	while (!gateway->stopped && tevent_loop_once(gateway->ev) == 0)
 		;
 }
 
--- a/libcometspindle/adapters/gateway/gateway.h
+++ b/libcometspindle/adapters/gateway/gateway.h
@@ -1,9 +1,9 @@
 /*
  * gateway.h
- * a VM that relays plain HTTP: reads its routes and endpoints from a directory
+ * a plain HTTP proxy whose routes and endpoints come from a directory
  *
- * One thread: on an entry VM with a part of one core, handing requests from
- * thread to thread costs more than it gives (docs/design/platform.md).
+ * The gateway runs in one thread: on an entry VM with a part of one core, passing requests
+ * between threads costs more than it gains (docs/design/platform.md).
  */
 #ifndef COMETSPINDLE_ADAPTERS_GATEWAY_H
 #define COMETSPINDLE_ADAPTERS_GATEWAY_H
@@ -16,20 +16,21 @@
 #include <libcometspindle/gateway/header_names.h>
 #include <tevent.h>
 
-/** What a directory's adapter is made with. */
+/** Arguments for the creation of a directory adapter. */
 struct comet_directory_context
 {
 	struct tevent_context *ev;
 	struct comet_timers *timers;
 	struct comet_upstream *upstream;
-	const char *address;                 /**< of the directory */
-	struct comet_byte_counters *counted; /**< where what is read is counted; NULL: nowhere */
-	uint32_t followed_ms; /**< a VM that reads for others is followed so long after an answer */
+	const char *address; /**< of the directory */
+	struct comet_byte_counters
+		*counted;     /**< counts the bytes read; NULL: they are not counted */
+	uint32_t followed_ms; /**< how long a directory reader is followed after an answer */
 	const struct comet_directory_events *events;
 	void *ctx;
 };
 
-/** The platform's side, as one value: how to read it and what it calls things. */
+/** The platform's directory adapter and its header names. */
 struct comet_platform_adapter
 {
 	struct comet_directory *(*create_directory)(
@@ -39,12 +40,12 @@
 
 struct comet_gateway;
 
-/** Opens sockets; NULL and error when something is not to be had. */
+/** Creates a gateway and opens its sockets. @return NULL with error set on failure. */
 struct comet_gateway *
 comet_gateway_create(const struct comet_gateway_settings *settings, const char *settings_path,
 	const struct comet_platform_adapter *port, GError **error) G_GNUC_WARN_UNUSED_RESULT;
 
-/** Runs until a stop (SIGTERM, SIGINT) is complete. */
+/** Runs until a shutdown (SIGTERM, SIGINT) is complete. */
 void
 comet_gateway_run(struct comet_gateway *gateway);
 
--- a/libcometspindle/adapters/gateway/gateway_private.h
+++ b/libcometspindle/adapters/gateway/gateway_private.h
@@ -1,6 +1,6 @@
 /*
  * gateway_private.h
- * what the gateway's files share
+ * shared state and functions of the gateway's source files
  */
 #ifndef COMETSPINDLE_ADAPTERS_GATEWAY_PRIVATE_H
 #define COMETSPINDLE_ADAPTERS_GATEWAY_PRIVATE_H
@@ -22,51 +22,54 @@
 #include <libcometspindle/latency_histogram.h>
 #include <libcometspindle/counter_set.h>
 
-/** Counts of how requests ended; monotonic. */
+/** Monotonic counters of requests, slot requests, quota requests and directory calls. */
 struct comet_gateway_counts
 {
 	uint64_t admitted;
 	uint64_t dispatched;
 	uint64_t repeated;
 	uint64_t resumed;
-	uint64_t granted;           /**< slots by other VMs */
-	uint64_t grants_evacuated;  /**< slots by other VMs that were given back: evacuated since */
-	uint64_t denied;            /**< asks for slots */
-	uint64_t waited;            /**< asks for slots that waited at a keeper in vain */
-	uint64_t unanswered;        /**< asks for slots */
-	uint64_t answered;          /**< asks of other VMs, by this one as keeper */
-	uint64_t charges_asked;     /**< of other VMs that keep accounts */
-	uint64_t charges_undecided; /**< of them, those that were not answered or not known */
-	uint64_t charges_answered;  /**< for other VMs, by this one as keeper */
+	uint64_t granted;           /**< slots granted by other VMs */
+	uint64_t grants_evacuated;  /**< slots granted by other VMs and returned, since the
+					zone was evacuated */
+	uint64_t denied;            /**< slot requests that were denied */
+	uint64_t waited;            /**< slot requests that waited at the owner without a grant */
+	uint64_t unanswered;        /**< slot requests without an answer */
+	uint64_t answered;          /**< slot requests of other VMs, answered as owner */
+	uint64_t charges_asked;     /**< quota requests to their owners */
+	uint64_t charges_undecided; /**< quota requests without an answer or with an unknown result
+				     */
+	uint64_t charges_answered;  /**< quota requests of other VMs, answered as owner */
 	uint64_t served;
 	uint64_t relayed_errors;
-	uint64_t refused_early;    /**< not run, told when to come back */
+	uint64_t refused_early;    /**< not run, with a time to retry after */
 	uint64_t refused_team;     /**< over the team's limit */
-	uint64_t refused_crashing; /**< for good: it crashes endpoints */
+	uint64_t refused_crashing; /**< quarantined: it crashes endpoints */
 	uint64_t refused_other;
-	uint64_t failed; /**< may have run */
-	uint64_t cut;    /**< an answer that could not be completed */
+	uint64_t failed; /**< may have run, without a complete answer */
+	uint64_t cut;    /**< the answer could not be completed */
 	uint64_t left;   /**< the caller left */
-	uint64_t directory_calls[COMET_DIRECTORY_CALLS]; /**< by their ends */
-	uint64_t directory_losses;                       /**< times at which it stopped answering */
-	uint64_t unreadable;                             /**< items of the directory */
+	uint64_t directory_calls[COMET_DIRECTORY_CALLS]; /**< by result */
+	uint64_t directory_losses;                       /**< outages of the directory */
+	uint64_t unreadable;                             /**< invalid items of the directory */
 };
 
-/** What a VM's link is used for, beside datagrams. */
+/** Uses of a VM's link other than datagrams. */
 enum comet_gateway_use
 {
 	COMET_GATEWAY_USE_CALLERS,
 	COMET_GATEWAY_USE_ENDPOINTS,
-	COMET_GATEWAY_USE_DIRECTORY, /**< read from it */
-	COMET_GATEWAY_USE_PEERS,     /**< what VMs hand on of it, and metrics */
+	COMET_GATEWAY_USE_DIRECTORY, /**< reads from the directory */
+	COMET_GATEWAY_USE_PEERS,     /**< directory copies between VMs, and metrics */
 };
 
 #define COMET_GATEWAY_USES (COMET_GATEWAY_USE_PEERS + 1)
 
-/** Times of answers, by kind of route. */
+/** Latencies of answers for one kind of route. */
 struct comet_gateway_times
 {
-	struct comet_latency_histogram first;  /**< from the request's first byte to its answer's */
+	struct comet_latency_histogram
+		first; /**< first byte of the request to first byte of the answer */
 	struct comet_latency_histogram whole;  /**< to the end of the answer */
 	struct comet_latency_histogram waited; /**< until it was sent to an endpoint */
 };
@@ -94,69 +97,68 @@
 	struct comet_crash_tracker *crash_tracker;
 	struct comet_gossip *gossip;
 	struct comet_grants *grants;
-	struct comet_timer *grants_timer; /**< looks at open asks; NULL: there is none */
+	struct comet_timer *grants_timer; /**< timeouts of pending slot requests; NULL: none */
 	struct comet_quota_requests *charges;
-	struct comet_timer *quota_timer; /**< looks at open charges; NULL: there is none */
+	struct comet_timer *quota_timer; /**< timeouts of pending quota requests; NULL: none */
 	struct comet_reader_election *reader_election;
 	enum comet_directory_mode reading; /**< whether this VM reads the directory itself */
-	uint64_t reported_us;              /**< when it last told news; 0: never */
+	uint64_t reported_us;              /**< when this VM last reported; 0: never */
 	struct comet_datagram_socket *link;
 	struct comet_route_table *table; /**< NULL until one has been read */
 	struct comet_gateway_counts counts;
 	struct comet_byte_counters bytes[COMET_GATEWAY_USES];
 	struct comet_latency_histogram
-		routes_lag;             /**< from the news of a document until it is in force */
-	struct comet_counter_set *ends; /**< of requests, by what became of them, kind and rank */
+		routes_lag;             /**< from the report of a document until it is in force */
+	struct comet_counter_set *ends; /**< requests by outcome, kind and rank */
 	struct comet_gateway_times times[COMET_ROUTE_KINDS];
 	uint32_t calls;         /**< requests that are open */
-	GQueue relays;          /**< of struct comet_proxy_request: the same, as they are */
-	GList *crash_checks;    /**< at endpoints that may have crashed (gateway_crashes.c) */
-	bool newly_quarantined; /**< a request was barred: some may wait here */
-	GQueue active_attempts; /**< of struct comet_proxy_request: those that are at an endpoint */
+	GQueue relays;          /**< of struct comet_proxy_request: all open requests */
+	GList *crash_checks;    /**< of struct crash_check (gateway_crashes.c) */
+	bool newly_quarantined; /**< a request was quarantined: attempts of it may be queued */
+	GQueue active_attempts; /**< of struct comet_proxy_request: sent to an endpoint */
 	struct comet_random draw;
 	uint64_t began_us;
-	bool discovering;           /**< it still finds out who else is there */
-	uint64_t discovered_us;     /**< when another VM was last heard of for the first time */
-	uint32_t peak_alive_vms;    /**< most VMs heard at a time, with this one */
-	uint64_t stop_us;           /**< when the stop began; 0: none */
-	uint64_t last_loop_us;      /**< when the loop had last waited */
-	uint64_t suspended_us;      /**< for how long the VM was suspended, as last looked */
-	uint64_t pause_detected_us; /**< when the process was last found to have been away; 0: never
-				     */
-	struct comet_fetch *resyncing;         /**< request of a snapshot or delta */
-	struct comet_fetch *fetching_document; /**< request of the routing document */
+	bool discovering;                      /**< this VM still discovers other VMs */
+	uint64_t discovered_us;                /**< when the last new VM was discovered; 0: none */
+	uint32_t peak_alive_vms;               /**< most VMs alive at a time, including this one */
+	uint64_t stop_us;                      /**< when the shutdown began; 0: none */
+	uint64_t last_loop_us;                 /**< when the event loop last waited */
+	uint64_t suspended_us;                 /**< total time suspended, as last read */
+	uint64_t pause_detected_us;            /**< when a pause was last detected; 0: never */
+	struct comet_fetch *resyncing;         /**< fetch of a snapshot or delta; NULL: none */
+	struct comet_fetch *fetching_document; /**< fetch of the routing document; NULL: none */
 	uint64_t answered_us;         /**< when the directory last answered a call; 0: never */
-	uint64_t stale_us;            /**< since when a peer is ahead; 0: none is */
-	uint64_t document_missing_us; /**< since when a document is missing; 0: none is */
-	uint64_t document_failed_us;  /**< last failed request of the document; 0: none */
-	uint64_t restarted_for;       /**< newest position for which the watch was restarted */
-	uint64_t position;            /**< in the directory, up to which everything is complete */
-	uint64_t endpoints_position;  /**< the same of endpoints */
-	uint64_t lost_us;             /**< when the directory was last lost */
-	bool directory_lost;          /**< its last answer failed */
-	bool listed;                  /**< the endpoints have been told once */
-	bool refusing;                /**< a stop has come so far that nothing new is begun */
-	bool over;
+	uint64_t stale_us;            /**< since when a peer has been ahead; 0: none */
+	uint64_t document_missing_us; /**< since when a document has been missing; 0: none */
+	uint64_t document_failed_us;  /**< last failed fetch of the document; 0: none */
+	uint64_t restarted_for;       /**< last reported position that restarted the watch */
+	uint64_t position;            /**< in the directory up to which everything is complete */
+	uint64_t endpoints_position;  /**< position up to which endpoints are complete */
+	uint64_t lost_us;             /**< when the directory last became unreachable */
+	bool directory_lost;          /**< the directory is unreachable */
+	bool listed;                  /**< the first list of endpoints is complete */
+	bool refusing;                /**< the shutdown accepts no new requests */
+	bool stopped;                 /**< the shutdown is complete: the event loop ends */
 };
 
-/** Handles a request of a caller (gateway_relay.c). */
+/** Handles the requests of callers (proxy_request.c). */
 extern const struct comet_http_server_events comet_gateway_caller_events;
 
-/** What the directory tells (gateway_directory.c). */
+/** Applies updates of the directory (gateway_directory.c). */
 extern const struct comet_directory_events comet_gateway_directory_events;
 
 /** Logs the end of an evacuation (gateway_directory.c). */
 void
 comet_gateway_zone_restored(void *ctx, const char *zone);
 
-/** Looks what time alone has brought about at endpoints (gateway_directory.c). */
+/** Runs the expiries of endpoints and zones that are due (gateway_directory.c). */
 void
 comet_gateway_tick_endpoints(struct comet_gateway *gateway, uint64_t now_us);
 
-/** What placement asks for (gateway_send.c). */
+/** Operations that placement needs (gateway_send.c). */
 extern const struct comet_placement_ops comet_gateway_placement_ops;
 
-/** Slots asked for at other VMs, for placement's operations (gateway_grants.c). */
+/** Requests slots from their owners, for placement's operations (gateway_grants.c). */
 enum comet_placement_owner
 comet_gateway_find_shard_owner(void *ctx, struct comet_shard *shard);
 
@@ -173,7 +175,7 @@
 
 extern const struct comet_grants_ops comet_gateway_grants_ops;
 
-/** Charges of requests to teams, here and at other VMs (gateway_charges.c). */
+/** Answers quota requests of other VMs and takes their answers (gateway_quota.c). */
 extern const struct comet_quota_requests_ops comet_gateway_quota_ops;
 
 /** Answers on the readiness and control addresses (gateway_pages.c). */
@@ -183,24 +185,25 @@
 /** Path of a snapshot of the directory on a VM's control address. */
 #define COMET_GATEWAY_SNAPSHOT_PATH "/v1/directory"
 
-/** Followed by a position: the delta after it. */
+/** The delta after the position that follows. */
 #define COMET_GATEWAY_DELTA_PATH COMET_GATEWAY_SNAPSHOT_PATH "?after="
 
-/** Followed by a position: the delta of endpoints after it. */
+/** The delta of endpoints after the position that follows. */
 #define COMET_GATEWAY_ENDPOINTS_PATH COMET_GATEWAY_SNAPSHOT_PATH "/endpoints?after="
 
-/** Followed by the directory's query: the routing document. */
+/** The routing document; the directory's query follows. */
 #define COMET_GATEWAY_DOCUMENT_PATH COMET_GATEWAY_SNAPSHOT_PATH "/document?"
 
 /** Requests a delta of endpoints from a peer, unless a request is under way (gateway_resync.c). */
 void
 comet_gateway_request_endpoints(struct comet_gateway *gateway, uint32_t vm);
 
-/** Fetches a routing document that was reported: from a reader, or else from the directory. */
+/** Fetches a reported routing document, from a reader or otherwise from the directory. */
 void
 comet_gateway_fetch_document(struct comet_gateway *gateway, uint64_t now_us);
 
-/** Decides whether this VM reads the directory, and reports to followers (gateway_readers.c). */
+/** Decides whether this VM reads the directory, and reports to followers
+ * (gateway_reader_election.c). */
 void
 comet_gateway_tick_reader_election(struct comet_gateway *gateway, uint64_t now_us);
 
@@ -208,7 +211,7 @@
 void
 comet_gateway_report_position(struct comet_gateway *gateway, uint64_t now_us);
 
-/** Takes the report of a reader. */
+/** Handles the report of a reader. */
 void
 comet_gateway_handle_report(struct comet_gateway *gateway, const comet_News *news, uint64_t now_us);
 
@@ -217,11 +220,11 @@
 void
 comet_gateway_resync(struct comet_gateway *gateway, uint64_t now_us);
 
-/** NULL when this VM takes requests, else why not (gateway_pages.c). */
+/** @return NULL if this VM accepts requests, otherwise a code of the reason (gateway_pages.c). */
 const char *
 comet_gateway_not_ready(const struct comet_gateway *gateway);
 
-/** Answers with all metrics (gateway_metrics.c). */
+/** Responds with all metrics (gateway_metrics.c). */
 void
 comet_gateway_respond_metrics(
 	struct comet_gateway *gateway, struct comet_http_server_request *request);
--- a/tests/system/test_suspended.py
+++ b/tests/system/test_suspended.py
@@ -73,7 +73,7 @@
     assert answer_of(sock)[0] in (503, 504)
     time.sleep(0.2)
     assert world.runs(ident) == 0
-    assert "event=was_away" in world.gateway.end()
+    assert "event=process_paused" in world.gateway.end()
 
 
 def test_what_is_left_of_a_deadline():
