--- a/libcometspindle/adapters/gateway/gateway_crashes.c
+++ b/libcometspindle/adapters/gateway/gateway_crashes.c
@@ -1,6 +1,6 @@
 /*
  * gateway_crashes.c
- * what a gateway sees of endpoints' processes that crash, and of the requests they ran
+ * detects crashed endpoint processes and reports the requests that they ran to the crash tracker
  */
 #include <libcometspindle/adapters/gateway/gateway_crashes.h>
 
@@ -9,22 +9,23 @@
 #include <string.h>
 #include <talloc.h>
 
-/* An endpoint whose connection broke is looked at again after this time: it counts as crashed if it
- * refused connections both times and said nothing between. A full one refuses them for moments. */
-#define LOOK_AGAIN_US 300000
+/* Delay between the two probes of an endpoint whose connection broke. The endpoint counts as
+ * crashed if it refused both and was not seen in between: an overloaded endpoint refuses
+ * connections briefly. */
+#define REPROBE_DELAY_US 300000
 
-/* Endpoints that are looked at, at a time: some more than crash together in a zone. */
-#define LOOKS_MAX 64
+/* Concurrent crash checks: somewhat more than the endpoints of a zone that crash together. */
+#define CRASH_CHECKS_MAX 64
 
-/* An endpoint with requests of ours that was not heard for this time may be gone: streams have an
- * event some times a second. */
-#define UNHEARD_US 500000
+/* An endpoint that runs requests of this VM and was not seen for this time may have crashed: a
+ * stream has several events a second. */
+#define UNSEEN_US 500000
 
-/* A look at an endpoint on which a request's connection broke. */
-struct look
+/* Checks whether an endpoint whose connection broke has crashed. */
+struct crash_check
 {
 	struct comet_gateway *gateway;
-	struct comet_timer *again;
+	struct comet_timer *timer;
 	char *id;
 	uint64_t process_start_ms;
 	uint64_t began_us;
@@ -32,129 +33,131 @@
 };
 
 static const char *
-news_name(enum comet_crash_tracker_event news)
+event_name(enum comet_crash_tracker_event event)
 {
 	static const char *const names[] = {
 		[COMET_CRASH_TRACKER_COUNTED] = "counted",
-		[COMET_CRASH_TRACKER_QUARANTINED] = "barred",
+		[COMET_CRASH_TRACKER_QUARANTINED] = "quarantined",
 		[COMET_CRASH_TRACKER_RELEASED] = "released",
-		[COMET_CRASH_TRACKER_CLEARED] = "excused",
+		[COMET_CRASH_TRACKER_CLEARED] = "cleared",
 	};
 
-	return names[news];
+	return names[event];
 }
 
 static void
-on_news(void *ctx, const struct comet_fingerprint *request, enum comet_crash_tracker_event news,
-	uint32_t lives, bool own)
+on_tracker_event(void *ctx, const struct comet_fingerprint *request,
+	enum comet_crash_tracker_event event, uint32_t lives, bool own)
 {
 	struct comet_gateway *gateway = ctx;
 
 	comet_log_writer *write = own ? comet_log : comet_log_repeated;
 
-	write(news == COMET_CRASH_TRACKER_COUNTED ? COMET_LOG_INFO : COMET_LOG_NOTICE,
+	write(event == COMET_CRASH_TRACKER_COUNTED ? COMET_LOG_INFO : COMET_LOG_NOTICE,
 		"event=request_%s fingerprint=%016" G_GINT64_MODIFIER
-		"x team_hash=%08x crashes=%u told=%d",
-		news_name(news), request->digest, request->team, lives, !own);
-	if (own) /* what another VM has told is on its way to all */
+		"x team_hash=%08x crashes=%u remote=%d",
+		event_name(event), request->digest, request->team, lives, !own);
+	if (own) /* findings of other VMs are already broadcast */
 		comet_gossip_schedule_broadcast(gateway->gossip);
 	gateway->newly_quarantined =
-		gateway->newly_quarantined || news == COMET_CRASH_TRACKER_QUARANTINED;
+		gateway->newly_quarantined || event == COMET_CRASH_TRACKER_QUARANTINED;
 }
 
-const struct comet_crash_tracker_ops comet_gateway_crashes_ops = {.news = on_news};
+const struct comet_crash_tracker_ops comet_gateway_crashes_ops = {.news = on_tracker_event};
 
 static int
-look_destroy(struct look *look)
+crash_check_destroy(struct crash_check *check)
 {
-	look->gateway->crash_checks = g_list_remove(look->gateway->crash_checks, look);
+	check->gateway->crash_checks = g_list_remove(check->gateway->crash_checks, check);
 	return 0;
 }
 
-/* The endpoint that is looked at, if that life of it is still used. */
+/* @return the endpoint under check; NULL if that incarnation is no longer in use. */
 static struct comet_instance *
-looked_at(const struct look *look)
+checked_instance(const struct crash_check *check)
 {
-	struct comet_instance *instance = comet_instances_find(look->gateway->instances, look->id);
+	struct comet_instance *instance =
+		comet_instances_find(check->gateway->instances, check->id);
 
-	return instance != NULL && instance->process_start_ms == look->process_start_ms ? instance
-											: NULL;
+	return instance != NULL && instance->process_start_ms == check->process_start_ms ? instance
+											 : NULL;
 }
 
 static void
-on_look(void *ctx);
+on_check_due(void *ctx);
 
 static void
-on_looked(void *ctx, enum comet_tcp_probe_result result)
+on_probed(void *ctx, enum comet_tcp_probe_result result)
 {
-	struct look *look = ctx;
-	const struct comet_instance *instance = looked_at(look);
+	struct crash_check *check = ctx;
+	const struct comet_instance *instance = checked_instance(check);
 
 	if (instance == NULL || result != COMET_TCP_PROBE_REFUSED ||
-		instance->last_seen_us > look->began_us)
+		instance->last_seen_us > check->began_us)
 	{
-		comet_log(COMET_LOG_INFO, "event=endpoint_looked_at endpoint=%s found=%s", look->id,
-			instance == NULL ? "gone" : comet_tcp_probe_result_name(result));
-		talloc_free(look); /* what the directory tells will show it */
+		comet_log(COMET_LOG_INFO, "event=crash_check_ended endpoint=%s result=%s",
+			check->id, instance == NULL ? "gone" : comet_tcp_probe_result_name(result));
+		talloc_free(check); /* the directory will report a crash */
 		return;
 	}
-	look->refusals++;
-	if (look->refusals == 1)
+	check->refusals++;
+	if (check->refusals == 1)
 	{
-		look->again =
-			comet_timers_add(look->gateway->timers, look, LOOK_AGAIN_US, on_look, look);
+		check->timer = comet_timers_add(
+			check->gateway->timers, check, REPROBE_DELAY_US, on_check_due, check);
 		return;
 	}
-	comet_gateway_process_crashed(look->gateway, instance, "refuses_connections");
-	talloc_free(look);
+	comet_gateway_process_crashed(check->gateway, instance, "connection_refused");
+	talloc_free(check);
 }
 
 static void
-on_look(void *ctx)
+on_check_due(void *ctx)
 {
-	struct look *look = ctx;
-	struct comet_gateway *gateway = look->gateway;
-	const struct comet_instance *instance = looked_at(look);
+	struct crash_check *check = ctx;
+	struct comet_gateway *gateway = check->gateway;
+	const struct comet_instance *instance = checked_instance(check);
 
-	look->again = NULL;
+	check->timer = NULL;
 	if (instance == NULL)
-		talloc_free(look);
+		talloc_free(check);
 	else
 		comet_tcp_probe_start(
-			gateway->timers, gateway->ev, look, instance->address, on_looked, look);
+			gateway->timers, gateway->ev, check, instance->address, on_probed, check);
 }
 
 static bool
-is_looked_at(const struct comet_gateway *gateway, const struct comet_instance *instance)
+is_checked(const struct comet_gateway *gateway, const struct comet_instance *instance)
 {
 	for (GList *at = gateway->crash_checks; at != NULL; at = at->next)
 	{
-		const struct look *look = at->data;
-		if (look->process_start_ms == instance->process_start_ms &&
-			strcmp(look->id, instance->id) == 0)
+		const struct crash_check *check = at->data;
+		if (check->process_start_ms == instance->process_start_ms &&
+			strcmp(check->id, instance->id) == 0)
 			return true;
 	}
 	return false;
 }
 
-/* Looks whether the endpoint's process is still there. The directory tells of a crash after two to
- * four seconds, in which the same request may come again and crash others. */
+/* Checks whether the endpoint's process still runs. The directory reports a crash only after two to
+ * four seconds, in which a retry of the same request may crash other endpoints. */
 static void
-look_at(struct comet_gateway *gateway, const struct comet_instance *instance)
+start_crash_check(struct comet_gateway *gateway, const struct comet_instance *instance)
 {
-	if (is_looked_at(gateway, instance) || g_list_length(gateway->crash_checks) >= LOOKS_MAX)
+	if (is_checked(gateway, instance) ||
+		g_list_length(gateway->crash_checks) >= CRASH_CHECKS_MAX)
 		return;
-	struct look *look = talloc_zero(gateway, struct look);
-	look->gateway = gateway;
-	look->id = talloc_strdup(look, instance->id);
-	look->process_start_ms = instance->process_start_ms;
-	look->began_us = comet_timers_now_us();
-	gateway->crash_checks = g_list_prepend(gateway->crash_checks, look);
-	talloc_set_destructor(look, look_destroy);
-	look->again = comet_timers_add(gateway->timers, look, 0, on_look, look);
+	struct crash_check *check = talloc_zero(gateway, struct crash_check);
+	check->gateway = gateway;
+	check->id = talloc_strdup(check, instance->id);
+	check->process_start_ms = instance->process_start_ms;
+	check->began_us = comet_timers_now_us();
+	gateway->crash_checks = g_list_prepend(gateway->crash_checks, check);
+	talloc_set_destructor(check, crash_check_destroy);
+	check->timer = comet_timers_add(gateway->timers, check, 0, on_check_due, check);
 }
 
-/* Does the answer itself tell where it ends? 204 and 304 have no body. */
+/* Returns whether the answer's head delimits its body; 204 and 304 have none. */
 static bool
 is_framed(const struct comet_http_head *head)
 {
@@ -163,15 +166,15 @@
 	       comet_http_head_get(head, "Transfer-Encoding") != NULL;
 }
 
-/* Does this answer show that its endpoint ran the request to its end? One that ends with its
- * connection may have ended with its process. */
+/* Returns whether the answer proves that the endpoint completed the request. An answer that is
+ * delimited by the end of its connection may have ended because the process crashed. */
 static bool
-is_proof(const struct comet_http_head *head)
+proves_completion(const struct comet_http_head *head)
 {
 	return head->status >= 200 && head->status < 300 && is_framed(head);
 }
 
-/* May this run have ended because the process crashed? */
+/* Returns whether the attempt may have ended because the process crashed. */
 static bool
 is_suspect(const struct comet_proxy_request *relay, enum comet_dispatch_result result)
 {
@@ -181,8 +184,8 @@
 		return true;
 	if (result == COMET_DISPATCH_SERVED)
 		return !is_framed(relay->head);
-	/* A caller may leave before its request's crash is seen: all attempts of one that always
-	 * did went uncounted. */
+	/* A caller may disconnect before the crash is detected. Without this rule, no attempt of a
+	 * caller that always did so was counted. */
 	return result == COMET_DISPATCH_CANCELLED && relay->exchange != NULL &&
 	       comet_exchange_sent(relay->exchange);
 }
@@ -194,10 +197,10 @@
 	const struct comet_instance *instance = comet_proxy_request_instance(relay);
 	uint64_t now_us = comet_timers_now_us();
 
-	if (result == COMET_DISPATCH_SERVED && is_proof(relay->head))
+	if (result == COMET_DISPATCH_SERVED && proves_completion(relay->head))
 		comet_crash_tracker_served(gateway->crash_tracker, &relay->fingerprint, now_us);
 	if (instance != NULL && result == COMET_DISPATCH_WRONG_INSTANCE)
-		comet_gateway_process_crashed(gateway, instance, "address_taken");
+		comet_gateway_process_crashed(gateway, instance, "address_reused");
 	if (!is_suspect(relay, result))
 		return;
 	uint64_t last_seen_us = instance != NULL ? instance->last_seen_us : relay->last_us;
@@ -206,23 +209,23 @@
 		.incarnation_key = relay->incarnation_key,
 		.last_seen_us = last_seen_us,
 		.cancelled = result == COMET_DISPATCH_CANCELLED &&
-			     now_us - MAX(last_seen_us, relay->sent_us) < UNHEARD_US,
+			     now_us - MAX(last_seen_us, relay->sent_us) < UNSEEN_US,
 	};
 	comet_crash_tracker_add_suspect(gateway->crash_tracker, &run, now_us);
 	if (instance != NULL && !run.cancelled && result != COMET_DISPATCH_SERVED)
-		look_at(gateway, instance);
+		start_crash_check(gateway, instance);
 }
 
-/* What is under way at a process that has not been heard for a while ended with it. */
+/* Records the requests in progress at a crashed process as suspects if it was not seen recently. */
 static void
-suspect_unheard(
+suspect_unseen(
 	struct comet_gateway *gateway, const struct comet_instance *instance, uint64_t now_us)
 {
 	for (GList *at = gateway->active_attempts.head; at != NULL; at = at->next)
 	{
 		const struct comet_proxy_request *relay = at->data;
 		uint64_t last_seen_us = MAX(instance->last_seen_us, relay->sent_us);
-		if (relay->incarnation_key != instance->key || now_us - last_seen_us < UNHEARD_US)
+		if (relay->incarnation_key != instance->key || now_us - last_seen_us < UNSEEN_US)
 			continue;
 		struct comet_crash_tracker_run run = {
 			.request = relay->fingerprint,
@@ -244,10 +247,10 @@
 		comet_crash_tracker_process_exited(gateway->crash_tracker, instance->key);
 		return;
 	}
-	suspect_unheard(gateway, instance, now_us);
+	suspect_unseen(gateway, instance, now_us);
 	comet_log(COMET_LOG_INFO,
-		"event=endpoint_ended endpoint=%s reason=%s open=%u "
-		"heard_ms_ago=%" G_GUINT64_FORMAT,
+		"event=endpoint_crashed endpoint=%s reason=%s open=%u "
+		"last_seen_ms_ago=%" G_GUINT64_FORMAT,
 		instance->id, why, instance->own,
 		instance->last_seen_us != 0 ? (now_us - instance->last_seen_us) / 1000 : 0);
 	comet_crash_tracker_process_crashed(
--- a/libcometspindle/adapters/gateway/gateway_directory.c
+++ b/libcometspindle/adapters/gateway/gateway_directory.c
@@ -1,6 +1,6 @@
 /*
  * gateway_directory.c
- * what a gateway does with the word of its directory: routes, endpoints, and that it is lost
+ * applies updates of the directory: routes, endpoints, evacuations, and outages of the directory
  */
 #include <libcometspindle/adapters/gateway/gateway_crashes.h>
 
@@ -27,7 +27,7 @@
 }
 
 static void
-bound_cold_endpoints(void *ctx, const struct comet_route_service *service)
+set_slow_start(void *ctx, const struct comet_route_service *service)
 {
 	struct comet_gateway *gateway = ctx;
 	const struct comet_gateway_settings *settings = gateway->settings;
@@ -50,7 +50,7 @@
 
 	if (gateway->table != NULL && version <= comet_route_table_version(gateway->table))
 	{
-		comet_route_table_unref(table); /* never an older one */
+		comet_route_table_unref(table); /* routes never go back to an earlier version */
 		return;
 	}
 	comet_log(COMET_LOG_NOTICE,
@@ -60,21 +60,21 @@
 	comet_route_table_each_team(table, log_team, gateway);
 	comet_route_table_unref(gateway->table);
 	gateway->table = table;
-	comet_route_table_each_service(table, bound_cold_endpoints, gateway);
+	comet_route_table_each_service(table, set_slow_start, gateway);
 	comet_rate_limiter_set_teams(gateway->rate_limiter, table, comet_timers_now_us());
 	comet_http_server_set_limits(gateway->callers, comet_route_table_limits(table));
 }
 
 static void
-on_dropped(void *ctx, const char *id)
+on_expired(void *ctx, const char *id)
 {
 	struct comet_gateway *gateway = ctx;
 
 	const struct comet_instance *instance = comet_instances_find(gateway->instances, id);
 
-	comet_log(COMET_LOG_NOTICE, "event=endpoint_gone endpoint=%s reason=lapse_over", id);
+	comet_log(COMET_LOG_NOTICE, "event=endpoint_gone endpoint=%s reason=expired", id);
 	if (instance != NULL)
-		comet_gateway_process_crashed(gateway, instance, "lapse_over");
+		comet_gateway_process_crashed(gateway, instance, "expired");
 	comet_upstream_close_instance(gateway->upstream, id);
 	comet_incarnations_expire(gateway->lives, id);
 }
@@ -88,7 +88,7 @@
 		return;
 	comet_log(COMET_LOG_NOTICE,
 		"event=endpoint_gone endpoint=%s reason=%s draining=%d open=%u "
-		"heard_ms_ago=%" G_GUINT64_FORMAT,
+		"last_seen_ms_ago=%" G_GUINT64_FORMAT,
 		id, reason, instance->draining, instance->own,
 		instance->last_seen_us != 0
 			? (comet_timers_now_us() - instance->last_seen_us) / 1000
@@ -97,16 +97,17 @@
 	comet_instances_remove(gateway->instances, id);
 }
 
-/* Has what was known under this id another address? Connections are kept by the id, and one to the
- * other address would lead to another endpoint, which refuses what is not meant for it. */
+/* Returns whether the record changes the endpoint's address. Connections are pooled by endpoint ID,
+ * and a connection to the earlier address may lead to another endpoint, which rejects requests that
+ * are not meant for it. */
 static bool
 has_moved(const struct comet_instance *known, const struct comet_instance_record *record)
 {
 	return known != NULL && strcmp(known->address, record->address) != 0;
 }
 
-/* Logs what changes with an entry. known: the instance of that id, or NULL; first: the entry is of
- * the first list. */
+/* Logs an entry of the directory if it changes an endpoint. @param known the instance of that ID,
+ * or NULL. @param first whether the entry is part of the first list. */
 static void
 log_listed(
 	const struct comet_instance *known, const struct comet_instance_record *record, bool first)
@@ -118,54 +119,55 @@
 
 	write(COMET_LOG_NOTICE,
 		"event=endpoint_listed endpoint=%s service=%s address=%s zone=%s slots=%u "
-		"draining=%d born=%" G_GUINT64_FORMAT " reborn=%d",
+		"draining=%d born=%" G_GUINT64_FORMAT " restarted=%d",
 		record->id, record->service, record->address, record->zone, record->slots,
 		record->draining, record->process_start_ms,
 		known != NULL && known->process_start_ms != record->process_start_ms);
 }
 
-/* An address that is looked for, and the gateway. */
-struct same_address
+/* Arguments of crash_if_at_address(). */
+struct address_match
 {
 	struct comet_gateway *gateway;
 	const char *address;
 };
 
 static void
-end_if_there(void *ctx, struct comet_instance *instance)
+crash_if_at_address(void *ctx, struct comet_instance *instance)
 {
-	const struct same_address *same = ctx;
+	const struct address_match *match = ctx;
 
-	if (strcmp(instance->address, same->address) == 0)
-		comet_gateway_process_crashed(same->gateway, instance, "address_taken");
+	if (strcmp(instance->address, match->address) == 0)
+		comet_gateway_process_crashed(match->gateway, instance, "address_reused");
 }
 
-/* A new process has an address: the one that had it before is over. */
+/* Reports a crash of each earlier process at the address of a new one. */
 static void
-end_earlier_at(struct comet_gateway *gateway, const char *address)
+crash_earlier_at(struct comet_gateway *gateway, const char *address)
 {
-	struct same_address same = {gateway, address};
+	struct address_match match = {gateway, address};
 
-	comet_instances_each(gateway->instances, end_if_there, &same);
+	comet_instances_each(gateway->instances, crash_if_at_address, &match);
 }
 
-/* Takes an entry of the latest life of an endpoint's process. */
+/* Applies an entry of the latest incarnation of an endpoint. */
 static void
-take_instance(struct comet_gateway *gateway, const struct comet_instance_record *record)
+apply_instance(struct comet_gateway *gateway, const struct comet_instance_record *record)
 {
 	const struct comet_instance *known = comet_instances_find(gateway->instances, record->id);
-	bool reborn = known != NULL && known->process_start_ms != record->process_start_ms;
+	bool restarted = known != NULL && known->process_start_ms != record->process_start_ms;
 	bool moved = has_moved(known, record);
 
 	log_listed(known, record, !gateway->listed);
-	if (reborn)
-		comet_gateway_process_crashed(gateway, known, "started_again");
-	if (known == NULL && gateway->listed) /* before that nobody was there */
-		end_earlier_at(gateway, record->address);
+	if (restarted)
+		comet_gateway_process_crashed(gateway, known, "restarted");
+	/* Before the first list is complete, no earlier process is known. */
+	if (known == NULL && gateway->listed)
+		crash_earlier_at(gateway, record->address);
 	comet_instances_put(gateway->instances, record, comet_timers_now_us());
-	if (record->draining || reborn || moved)
+	if (record->draining || restarted || moved)
 		comet_upstream_close_instance(gateway->upstream, record->id);
-	if (reborn)
+	if (restarted)
 		comet_proxy_request_probe_previous_incarnation(
 			gateway, record->id, record->process_start_ms);
 }
@@ -178,37 +180,37 @@
 	switch (comet_incarnations_observe(gateway->lives, record, comet_timers_now_us()))
 	{
 	case COMET_INCARNATION_LATEST:
-		take_instance(gateway, record);
+		apply_instance(gateway, record);
 		break;
 	case COMET_INCARNATION_EARLIER:
 		comet_log(COMET_LOG_NOTICE,
-			"event=earlier_life_ignored endpoint=%s born=%" G_GUINT64_FORMAT
+			"event=earlier_incarnation_ignored endpoint=%s born=%" G_GUINT64_FORMAT
 			" known=%" G_GUINT64_FORMAT,
 			record->id, record->process_start_ms,
 			comet_incarnations_start_ms(gateway->lives, record->id));
 		break;
 	case COMET_INCARNATION_UNSPECIFIED:
 		gateway->counts.unreadable++;
-		drop_endpoint(gateway, record->id, "life_untold");
+		drop_endpoint(gateway, record->id, "incarnation_missing");
 		break;
 	}
 }
 
 static void
-on_earlier_believed(void *ctx, const struct comet_instance_record *record)
+on_earlier_accepted(void *ctx, const struct comet_instance_record *record)
 {
 	comet_log(COMET_LOG_NOTICE,
-		"event=earlier_life_believed endpoint=%s born=%" G_GUINT64_FORMAT, record->id,
-		record->process_start_ms);
-	take_instance(ctx, record);
+		"event=earlier_incarnation_accepted endpoint=%s born=%" G_GUINT64_FORMAT,
+		record->id, record->process_start_ms);
+	apply_instance(ctx, record);
 }
 
 void
 comet_gateway_tick_endpoints(struct comet_gateway *gateway, uint64_t now_us)
 {
-	comet_instances_tick(gateway->instances, now_us, on_dropped, gateway);
+	comet_instances_tick(gateway->instances, now_us, on_expired, gateway);
 	comet_evacuations_tick(gateway->evacuations, now_us);
-	comet_incarnations_tick(gateway->lives, now_us, on_earlier_believed, gateway);
+	comet_incarnations_tick(gateway->lives, now_us, on_earlier_accepted, gateway);
 }
 
 static void
@@ -225,7 +227,7 @@
 		comet_instances_schedule_expiry(gateway->instances, id, outage_us, &bounds, now_us))
 	{
 		comet_log(COMET_LOG_NOTICE,
-			"event=endpoint_lapsed endpoint=%s out_ms_ago=%" G_GUINT64_FORMAT, id,
+			"event=endpoint_lapsed endpoint=%s outage_ms_ago=%" G_GUINT64_FORMAT, id,
 			(now_us - outage_us) / 1000);
 		comet_incarnations_schedule_expiry(gateway->lives, id);
 		return;
@@ -237,12 +239,12 @@
 	drop_endpoint(gateway, id, "removed");
 }
 
-/* What this VM knows of a zone. */
+/* The endpoints of a zone and this VM's requests there. */
 struct zone_count
 {
 	const char *zone;
 	uint32_t endpoints;
-	uint32_t open; /* requests of this VM */
+	uint32_t open; /* requests of this VM in progress */
 };
 
 static void
@@ -290,7 +292,7 @@
 }
 
 static void
-on_refused(void *ctx, const struct comet_directory_invalid_item *refusal)
+on_invalid_item(void *ctx, const struct comet_directory_invalid_item *invalid)
 {
 	struct comet_gateway *gateway = ctx;
 
@@ -298,10 +300,10 @@
 	comet_log(COMET_LOG_ERR,
 		"event=directory_item_refused key=%s revision=%" G_GUINT64_FORMAT
 		" effect=%s error=\"%s\"",
-		refusal->key, refusal->revision,
-		refusal->endpoint != NULL ? "endpoint_dropped" : "kept_last", refusal->why);
-	if (refusal->endpoint != NULL)
-		drop_endpoint(gateway, refusal->endpoint, "unreadable");
+		invalid->key, invalid->revision,
+		invalid->endpoint != NULL ? "endpoint_dropped" : "kept_last", invalid->why);
+	if (invalid->endpoint != NULL)
+		drop_endpoint(gateway, invalid->endpoint, "unreadable");
 }
 
 static void
@@ -311,7 +313,7 @@
 
 	gateway->listed = true;
 	if (position > gateway->position)
-		gateway->stale_us = 0; /* whoever is still ahead is so from now */
+		gateway->stale_us = 0; /* the grace for peers still ahead starts anew */
 	gateway->position = position;
 	gateway->endpoints_position = endpoints;
 	comet_gossip_set_revision(gateway->gossip, position);
@@ -320,7 +322,7 @@
 }
 
 static void
-on_era(void *ctx, uint64_t epoch, uint64_t before)
+on_epoch(void *ctx, uint64_t epoch, uint64_t before)
 {
 	struct comet_gateway *gateway = ctx;
 
@@ -369,9 +371,9 @@
 	.instance_gone = on_instance_gone,
 	.evacuated = on_evacuated,
 	.restored = on_restored,
-	.refused = on_refused,
+	.refused = on_invalid_item,
 	.revision = on_revision,
-	.epoch = on_era,
+	.epoch = on_epoch,
 	.called = on_called,
 	.answered = on_answered,
 	.dependency = on_dependency,
--- a/tests/system/test_directory.py
+++ b/tests/system/test_directory.py
@@ -353,7 +353,7 @@
     """A server's entry had lapsed while the store was away, and it was used on. Then the last word of its earlier life
     came, and was taken for news: what was known of lives had been forgotten with the entry.
 
-        event=endpoint_listed endpoint=i-0 ... draining=1 born=1000 reborn=1
+        event=endpoint_listed endpoint=i-0 ... draining=1 born=1000 restarted=1
 
     What is used on still has its life."""
     world = World(lapse_ms=20000, settled_ms=20000)
@@ -368,7 +368,7 @@
     publish_and_wait(world, one, born=1000, state="draining")
     assert served_by(world) == "i-0"
     # it stays the last word, and is believed
-    wait_for(lambda: b"event=earlier_life_believed" in world.gateway.log_text())
+    wait_for(lambda: b"event=earlier_incarnation_accepted" in world.gateway.log_text())
     assert call(world.gateway, "/safe/x")[1] == 503
     world.gateway.end()
 
