--- a/libcometspindle/adapters/gateway/gateway_metrics.c
+++ b/libcometspindle/adapters/gateway/gateway_metrics.c
@@ -1,12 +1,13 @@
 /*
  * gateway_metrics.c
- * the counters, gauges and histograms of a gateway, in the text format that collectors read
+ * writes the metrics of a gateway in the Prometheus text format
  */
 #include <libcometspindle/adapters/gateway/gateway_private.h>
 
 #include <stddef.h>
 
-/* Begins a family: strict readers refuse samples without it, or apart from it. */
+/* Writes the type line of a metric family. Strict parsers reject samples that do not follow the
+ * type line of their family. */
 static void
 put_type(GString *out, const char *name, const char *type)
 {
@@ -47,7 +48,7 @@
 }
 
 static void
-put_asks(GString *out, const struct comet_gateway_counts *counts)
+put_slot_requests(GString *out, const struct comet_gateway_counts *counts)
 {
 	g_string_append_printf(out,
 		"# TYPE comet_slot_asks_total counter\n"
@@ -61,7 +62,7 @@
 }
 
 static void
-put_charges(GString *out, const struct comet_gateway_counts *counts)
+put_quota_requests(GString *out, const struct comet_gateway_counts *counts)
 {
 	g_string_append_printf(out,
 		"# TYPE comet_charges_total counter\n"
@@ -71,8 +72,8 @@
 		counts->charges_asked, counts->charges_undecided, counts->charges_answered);
 }
 
-/* Calls to the directory by their ends, and whether this VM makes them for itself (0), for its zone
- * (1), not at all (2), or for itself until it can follow others (3). */
+/* Writes the directory calls by result, and the directory mode: direct (0), reader of the zone (1),
+ * follower (2), or fallback, which reads directly until it can follow a reader (3). */
 static void
 put_directory_calls(GString *out, const struct comet_gateway *gateway)
 {
@@ -102,16 +103,16 @@
 	put(out, "requests_barred", "gauge", counts.barred);
 }
 
-/* What is being written. */
+/* State of one response. */
 struct page
 {
 	struct comet_gateway *gateway;
 	GString *out;
 	uint64_t now_us;
-	const void *family; /* of services or endpoints, whose figures are written now */
+	const void *family; /**< the service or endpoint family that is being written */
 };
 
-/* One figure of each service; value: of one. */
+/* A metric family with one sample for each service; value returns the sample. */
 struct service_family
 {
 	const char *name;
@@ -127,7 +128,7 @@
 }
 
 static double
-repeats_left_of(const struct page *page, const char *service, uint32_t waiting)
+retries_left_of(const struct page *page, const char *service, uint32_t waiting)
 {
 	(void)waiting;
 	return comet_retry_budget_remaining(page->gateway->retries, service, page->now_us);
@@ -135,7 +136,7 @@
 
 static const struct service_family service_families[] = {
 	{"requests_waiting", waiting_of},
-	{"repeats_left", repeats_left_of},
+	{"repeats_left", retries_left_of},
 };
 
 static void
@@ -182,7 +183,7 @@
 	comet_route_table_each_team(table, put_team, page);
 }
 
-/* One figure of each endpoint; value: false when there is none for this one. */
+/* A metric family with one sample for each endpoint; value returns false if it has no sample. */
 struct endpoint_family
 {
 	const char *name;
@@ -190,12 +191,12 @@
 };
 
 static bool
-view_age_of(const struct comet_instance *instance, uint64_t now_us, double *value)
+state_age_of(const struct comet_instance *instance, uint64_t now_us, double *value)
 {
-	uint64_t viewed_us = MAX(instance->gossip_us, instance->reported_us);
+	uint64_t updated_us = MAX(instance->gossip_us, instance->reported_us);
 
-	*value = (double)(now_us - viewed_us) / 1000000;
-	return viewed_us != 0;
+	*value = (double)(now_us - updated_us) / 1000000;
+	return updated_us != 0;
 }
 
 static bool
@@ -207,7 +208,7 @@
 }
 
 static bool
-pace_of(const struct comet_instance *instance, uint64_t now_us, double *value)
+relative_latency_of(const struct comet_instance *instance, uint64_t now_us, double *value)
 {
 	(void)now_us;
 	*value = instance->pace;
@@ -215,7 +216,7 @@
 }
 
 static bool
-avoided_of(const struct comet_instance *instance, uint64_t now_us, double *value)
+ejected_of(const struct comet_instance *instance, uint64_t now_us, double *value)
 {
 	(void)now_us;
 	*value = instance->ejected_until_us != 0 ? 1 : 0;
@@ -231,7 +232,7 @@
 }
 
 static bool
-cold_of(const struct comet_instance *instance, uint64_t now_us, double *value)
+slow_start_of(const struct comet_instance *instance, uint64_t now_us, double *value)
 {
 	*value = now_us < instance->start.until_us ? 1 : 0;
 	return instance->start_bounds->most_per_s > 0;
@@ -246,7 +247,7 @@
 }
 
 static bool
-lapsed_of(const struct comet_instance *instance, uint64_t now_us, double *value)
+stale_of(const struct comet_instance *instance, uint64_t now_us, double *value)
 {
 	(void)now_us;
 	*value = instance->listed ? 0 : 1;
@@ -259,7 +260,8 @@
 	g_string_append_printf(ctx, "comet_zone_evacuated{zone=\"%s\"} 1\n", zone);
 }
 
-/* Evacuated zones, and slots there that were granted before their keepers knew. */
+/* Writes the evacuated zones, and the number of slots there that their owners granted before they
+ * knew of the evacuation. */
 static void
 put_evacuations(GString *out, const struct comet_gateway *gateway)
 {
@@ -269,14 +271,14 @@
 }
 
 static const struct endpoint_family endpoint_families[] = {
-	{"endpoint_view_age_seconds", view_age_of},
+	{"endpoint_view_age_seconds", state_age_of},
 	{"endpoint_running", running_of},
-	{"endpoint_pace", pace_of},
-	{"endpoint_avoided", avoided_of},
+	{"endpoint_pace", relative_latency_of},
+	{"endpoint_avoided", ejected_of},
 	{"endpoint_draining", draining_of},
 	{"endpoint_evacuated", evacuated_of},
-	{"endpoint_cold", cold_of},
-	{"endpoint_lapsed", lapsed_of},
+	{"endpoint_cold", slow_start_of},
+	{"endpoint_lapsed", stale_of},
 };
 
 static void
@@ -303,8 +305,8 @@
 	}
 }
 
-/* Appends one histogram for each kind of route; member: its offset in struct comet_gateway_times.
- */
+/* Writes one histogram for each kind of route. @param member its offset in struct
+ * comet_gateway_times. */
 static void
 put_histograms(GString *out, const struct comet_gateway *gateway, const char *name, size_t member)
 {
@@ -322,7 +324,7 @@
 }
 
 static void
-put_times(GString *out, const struct comet_gateway *gateway)
+put_latencies(GString *out, const struct comet_gateway *gateway)
 {
 	put_histograms(out, gateway, "comet_first_byte_seconds",
 		offsetof(struct comet_gateway_times, first));
@@ -341,7 +343,7 @@
 		use, bytes->received, use, bytes->sent);
 }
 
-/* Bytes through the VM's link, by what they were for. */
+/* Writes the bytes on the VM's link by use. */
 static void
 put_bytes(GString *out, const struct comet_gateway *gateway)
 {
@@ -394,15 +396,15 @@
 	comet_gossip_count(gateway->gossip, &known, &heard);
 	put_outcomes(out, &gateway->counts);
 	comet_counter_set_print(gateway->ends, out, "comet_request_ends_total");
-	put_times(out, gateway);
+	put_latencies(out, gateway);
 	put(out, "requests_open", "gauge", gateway->calls);
 	put_services(&page);
 	put_teams(&page);
 	put(out, "dispatches_total", "counter", (double)gateway->counts.dispatched);
 	put(out, "repeats_total", "counter", (double)gateway->counts.repeated);
 	put(out, "resumes_total", "counter", (double)gateway->counts.resumed);
-	put_asks(out, &gateway->counts);
-	put_charges(out, &gateway->counts);
+	put_slot_requests(out, &gateway->counts);
+	put_quota_requests(out, &gateway->counts);
 	put_directory_calls(out, gateway);
 	put_crashes(out, gateway);
 	put_evacuations(out, gateway);
--- a/libcometspindle/adapters/gateway/gateway_pages.c
+++ b/libcometspindle/adapters/gateway/gateway_pages.c
@@ -1,21 +1,22 @@
 /*
  * gateway_pages.c
- * what a gateway answers on its readiness and control addresses
+ * answers requests on the readiness and control addresses: readiness, metrics, directory copies
  */
 #include <libcometspindle/adapters/gateway/gateway_private.h>
 
 #include <string.h>
 
-/* Concurrent snapshots, of up to a megabyte each. */
-#define SNAPSHOTS_MAX 3
+/* Limit of connections up to which snapshots, of up to a megabyte each, are sent. */
+#define SNAPSHOT_CONNECTIONS_MAX 3
 
-/* Concurrent small deltas: all VMs of a zone request one from its readers at once. */
-#define DELTAS_MAX 256
+/* Limit of connections up to which small deltas are sent: all VMs of a zone request one from the
+ * zone's readers at once. */
+#define DELTA_CONNECTIONS_MAX 256
 #define DELTA_BYTES_MAX (64 * 1024)
 
-/* Queued documents: one second of a link of 10 Mbit/s. A VM that is rejected reads the directory.
- */
-#define DOCUMENTS_BYTES_MAX (1250 * 1000)
+/* Limit of queued routing documents: one second of a 10 Mbit/s link. A peer that is rejected reads
+ * the document from the directory. */
+#define QUEUED_DOCUMENT_BYTES_MAX (1250 * 1000)
 
 #define METRICS_PATH "/metrics"
 
@@ -49,7 +50,7 @@
 	(void)request;
 }
 
-/* Writes a delta after a position given as text. */
+/* Returns the delta after a position given as text, or NULL if it is not a position. */
 static GBytes *
 delta_after(struct comet_gateway *gateway, const char *after,
 	GBytes *(*delta)(struct comet_directory *directory, uint64_t after))
@@ -61,7 +62,8 @@
 	return delta(gateway->directory, position);
 }
 
-/* Writes the delta that a peer requests, or a snapshot. */
+/* Returns the delta that a peer requests, or a snapshot. @return NULL if too many connections are
+ * open. */
 static GBytes *
 resync_for(struct comet_gateway *gateway, const char *target)
 {
@@ -69,20 +71,22 @@
 	uint32_t open = (uint32_t)comet_http_server_counts(gateway->control)->connections;
 	GBytes *data = NULL;
 
-	if (open <= DELTAS_MAX && g_str_has_prefix(target, COMET_GATEWAY_ENDPOINTS_PATH))
+	if (open <= DELTA_CONNECTIONS_MAX && g_str_has_prefix(target, COMET_GATEWAY_ENDPOINTS_PATH))
 		data = delta_after(gateway, target + strlen(COMET_GATEWAY_ENDPOINTS_PATH),
 			ops->endpoints_delta);
-	else if (open <= DELTAS_MAX && g_str_has_prefix(target, COMET_GATEWAY_DELTA_PATH))
+	else if (open <= DELTA_CONNECTIONS_MAX &&
+		 g_str_has_prefix(target, COMET_GATEWAY_DELTA_PATH))
 		data = delta_after(gateway, target + strlen(COMET_GATEWAY_DELTA_PATH), ops->delta);
-	if (data == NULL && open <= SNAPSHOTS_MAX)
+	if (data == NULL && open <= SNAPSHOT_CONNECTIONS_MAX)
 		data = ops->snapshot(gateway->directory);
-	if (data == NULL || open <= SNAPSHOTS_MAX || g_bytes_get_size(data) <= DELTA_BYTES_MAX)
+	if (data == NULL || open <= SNAPSHOT_CONNECTIONS_MAX ||
+		g_bytes_get_size(data) <= DELTA_BYTES_MAX)
 		return data;
 	g_bytes_unref(data);
 	return NULL;
 }
 
-/* Writes the routing document for a peer. @return NULL if it is unknown or the queue is full. */
+/* Returns the routing document for a peer. @return NULL if it is unknown or the queue is full. */
 static GBytes *
 document_for(struct comet_gateway *gateway, const char *query)
 {
@@ -91,14 +95,14 @@
 	GBytes *document = ops->documents(gateway->directory, query);
 
 	if (document == NULL || unsent == 0 ||
-		unsent + g_bytes_get_size(document) <= DOCUMENTS_BYTES_MAX)
+		unsent + g_bytes_get_size(document) <= QUEUED_DOCUMENT_BYTES_MAX)
 		return document;
 	g_bytes_unref(document);
 	return NULL;
 }
 
 static void
-answer_resync(struct comet_http_server_request *request, GBytes *bytes)
+respond_resync(struct comet_http_server_request *request, GBytes *bytes)
 {
 	gsize length = 0;
 
@@ -120,12 +124,12 @@
 	const char *target = request->head->target;
 
 	if (g_str_has_prefix(target, COMET_GATEWAY_DOCUMENT_PATH))
-		answer_resync(
+		respond_resync(
 			request, document_for(ctx, target + strlen(COMET_GATEWAY_DOCUMENT_PATH)));
 	else if (strcmp(target, COMET_GATEWAY_SNAPSHOT_PATH) == 0 ||
 		 g_str_has_prefix(target, COMET_GATEWAY_DELTA_PATH) ||
 		 g_str_has_prefix(target, COMET_GATEWAY_ENDPOINTS_PATH))
-		answer_resync(request, resync_for(ctx, target));
+		respond_resync(request, resync_for(ctx, target));
 	else if (strcmp(target, METRICS_PATH) == 0)
 		comet_gateway_respond_metrics(ctx, request);
 	else
