--- a/libcometspindle/adapters/gateway/gateway_reader_election.c
+++ b/libcometspindle/adapters/gateway/gateway_reader_election.c
@@ -1,17 +1,16 @@
 /*
  * gateway_reader_election.c
- * the zone's directory readers: reports to followers, or follows the readers' reports
+ * applies the reader election: a reader reports its position, a follower fetches from readers
  */
 #include <libcometspindle/adapters/gateway/gateway_private.h>
 
 #include <libcometspindle/log.h>
 
-/* Report interval of a reader: a fraction of the time a report is valid, since datagrams get lost.
- */
+/* Report interval of a reader: a fraction of the validity of a report, since datagrams get lost. */
 #define REPORT_US 200000
 
 static const char *
-reading_name(enum comet_directory_mode reading)
+mode_name(enum comet_directory_mode reading)
 {
 	static const char *const names[] = {
 		[COMET_DIRECTORY_MODE_DIRECT] = "reads",
@@ -23,7 +22,7 @@
 	return names[reading];
 }
 
-/* @return the age of the directory's last answer. */
+/* Returns the age of the directory's last answer. */
 static uint64_t
 answer_age_us(const struct comet_gateway *gateway, uint64_t now_us)
 {
@@ -46,7 +45,7 @@
 			},
 	};
 
-	/* A stale report would not be followed. */
+	/* Followers ignore a stale report. */
 	if (gateway->reading != COMET_DIRECTORY_MODE_READER ||
 		!comet_reader_election_is_fresh(gateway->reader_election, age_us))
 		return;
@@ -55,7 +54,7 @@
 	comet_gossip_broadcast_zone(gateway->gossip, data, length);
 }
 
-/* Fetches from a reader what is missing here. */
+/* Fetches missing endpoints and the missing routing document from a reader. */
 static void
 resync(struct comet_gateway *gateway, uint64_t now_us)
 {
@@ -84,7 +83,7 @@
 	};
 
 	if (!comet_gossip_is_zone_peer_alive(gateway->gossip, news->address))
-		return; /* another zone's, or not yet known */
+		return; /* the sender is in another zone or not yet known */
 	comet_reader_election_report(gateway->reader_election, &told, now_us);
 	resync(gateway, now_us);
 	if (gateway->reading == COMET_DIRECTORY_MODE_FOLLOWER &&
@@ -97,8 +96,8 @@
 {
 	if (reading == gateway->reading)
 		return;
-	comet_log(COMET_LOG_NOTICE, "event=directory_reading how=%s before=%s",
-		reading_name(reading), reading_name(gateway->reading));
+	comet_log(COMET_LOG_NOTICE, "event=directory_reading how=%s before=%s", mode_name(reading),
+		mode_name(gateway->reading));
 	gateway->reading = reading;
 	gateway->directory->ops->set_mode(gateway->directory, reading);
 }
@@ -106,14 +105,14 @@
 void
 comet_gateway_tick_reader_election(struct comet_gateway *gateway, uint64_t now_us)
 {
-	struct comet_reader_election_state sight = {
+	struct comet_reader_election_state state = {
 		.listed = gateway->listed && gateway->table != NULL,
 		.leaving = gateway->stop_us != 0,
 		.position = gateway->endpoints_position,
 	};
 
-	comet_gossip_count_zone_peers(gateway->gossip, now_us, &sight.zone_vms, &sight.better);
-	set_mode(gateway, comet_reader_election_decide(gateway->reader_election, &sight, now_us));
+	comet_gossip_count_zone_peers(gateway->gossip, now_us, &state.zone_vms, &state.better);
+	set_mode(gateway, comet_reader_election_decide(gateway->reader_election, &state, now_us));
 	if (now_us - gateway->reported_us >= REPORT_US)
 		comet_gateway_report_position(gateway, now_us);
 	resync(gateway, now_us);
--- a/libcometspindle/adapters/gateway/gateway_resync.c
+++ b/libcometspindle/adapters/gateway/gateway_resync.c
@@ -7,7 +7,7 @@
 #include <libcometspindle/log.h>
 #include <string.h>
 
-/* Grace before a resync from a peer: our own watch usually delivers the same change. It is longer
+/* Grace before a resync from a peer: this VM's watch usually delivers the same change. It is longer
  * while the directory answers, so that hundreds of VMs that start together do not query each other.
  */
 #define STALE_GRACE_US 400000
@@ -27,16 +27,15 @@
  * after a failed request. */
 #define READER_RETRY_US 300000
 
-/* HTTP status of a complete answer. */
-#define STATUS_GOOD 200
+#define STATUS_OK 200
 
-/* Applies a peer's answer. @return false if there is none, or it is malformed. */
+/* Applies the answer of a peer. @return false if the request failed or the answer is malformed. */
 static bool
-take_answer(struct comet_gateway *gateway, const struct comet_fetch_response *answer)
+apply_answer(struct comet_gateway *gateway, const struct comet_fetch_response *answer)
 {
 	GError *error = NULL;
 
-	if (answer->failure != NULL || answer->status != STATUS_GOOD)
+	if (answer->failure != NULL || answer->status != STATUS_OK)
 	{
 		comet_log(COMET_LOG_NOTICE, "event=resync_failed reason=%s status=%u",
 			answer->failure != NULL ? answer->failure : "status", answer->status);
@@ -51,12 +50,12 @@
 }
 
 static void
-on_copy(void *ctx, const struct comet_fetch_response *answer)
+on_resync(void *ctx, const struct comet_fetch_response *answer)
 {
 	struct comet_gateway *gateway = ctx;
 
-	gateway->resyncing = NULL; /* frees itself after this */
-	if (!take_answer(gateway, answer))
+	gateway->resyncing = NULL; /* the fetch frees itself after this handler */
+	if (!apply_answer(gateway, answer))
 		comet_reader_election_failed(gateway->reader_election, comet_timers_now_us());
 	comet_gateway_fetch_document(gateway, comet_timers_now_us());
 }
@@ -67,15 +66,16 @@
 	struct comet_gateway *gateway = ctx;
 	const struct comet_directory_ops *ops = gateway->directory->ops;
 
-	gateway->fetching_document = NULL; /* frees itself after this */
-	if (take_answer(gateway, answer) && ops->missing_document(gateway->directory) == 0)
+	gateway->fetching_document = NULL; /* the fetch frees itself after this handler */
+	if (apply_answer(gateway, answer) && ops->missing_document(gateway->directory) == 0)
 		return;
 	gateway->document_failed_us = comet_timers_now_us();
 	ops->read_document(gateway->directory);
 }
 
 static struct comet_fetch *
-ask(struct comet_gateway *gateway, uint32_t vm, const char *target, comet_fetch_handler handler)
+request_from_peer(
+	struct comet_gateway *gateway, uint32_t vm, const char *target, comet_fetch_handler handler)
 {
 	char ip[COMET_IPV4_TEXT_BYTES];
 	const char *port = strrchr(gateway->settings->control, ':'); /* the same on all VMs */
@@ -104,7 +104,7 @@
 		comet_datagram_socket_format_address(vm, ip),
 		comet_directory_epoch(gateway->position),
 		comet_directory_revision(gateway->position));
-	gateway->resyncing = ask(gateway, vm, COMET_GATEWAY_SNAPSHOT_PATH, on_copy);
+	gateway->resyncing = request_from_peer(gateway, vm, COMET_GATEWAY_SNAPSHOT_PATH, on_resync);
 }
 
 void
@@ -114,7 +114,7 @@
 		return;
 	char *target = g_strdup_printf(
 		COMET_GATEWAY_ENDPOINTS_PATH "%" G_GUINT64_FORMAT, gateway->endpoints_position);
-	gateway->resyncing = ask(gateway, vm, target, on_copy);
+	gateway->resyncing = request_from_peer(gateway, vm, target, on_resync);
 	g_free(target);
 }
 
@@ -124,7 +124,7 @@
 	char *query = gateway->directory->ops->query(gateway->directory);
 	char *target = g_strconcat(COMET_GATEWAY_DOCUMENT_PATH, query, NULL);
 
-	gateway->fetching_document = ask(gateway, vm, target, on_document);
+	gateway->fetching_document = request_from_peer(gateway, vm, target, on_document);
 	g_free(target);
 	g_free(query);
 }
@@ -152,10 +152,10 @@
 		ops->read_document(gateway->directory);
 }
 
-/* A watch that started in an outage is never answered, though its connection stands. It is
- * restarted once per reported position, since a report may be false. */
+/* Restarts a watch that started in an outage: it is never answered, although its connection stays
+ * open. A watch is restarted once per reported position, since a report may be false. */
 static bool
-restarted_watch(struct comet_gateway *gateway, uint64_t now_us)
+restart_stale_watch(struct comet_gateway *gateway, uint64_t now_us)
 {
 	uint64_t newest = comet_gossip_newest_revision(gateway->gossip);
 
@@ -171,7 +171,7 @@
 {
 	uint32_t vm = comet_gossip_pick_newer_peer(
 		gateway->gossip, gateway->position, comet_random_u32(&gateway->draw));
-	uint64_t patience_us = gateway->directory_lost ? STALE_GRACE_US : STALE_GRACE_ANSWERED_US;
+	uint64_t grace_us = gateway->directory_lost ? STALE_GRACE_US : STALE_GRACE_ANSWERED_US;
 
 	if (vm == 0)
 	{
@@ -186,13 +186,13 @@
 	if (gateway->directory->ops->is_arriving(gateway->directory) &&
 		now_us - gateway->stale_us < ARRIVING_US)
 		return;
-	if (restarted_watch(gateway, now_us))
+	if (restart_stale_watch(gateway, now_us))
 	{
 		gateway->stale_us = now_us; /* grace for the new watch */
 		return;
 	}
 	if (gateway->resyncing != NULL || gateway->fetching_document != NULL ||
-		now_us - gateway->stale_us < patience_us)
+		now_us - gateway->stale_us < grace_us)
 		return;
 	gateway->stale_us = now_us;
 	/* Endpoints are up to date: only the document is missing. */
