--- a/tests/system/test_directory.py
+++ b/tests/system/test_directory.py
@@ -46,6 +46,7 @@
     for version in range(2, 12):
         world.store.put("op/config", large(version, keys=("k1",) if version % 2 else ("k2",)))
         assert {status_with("k1"), status_with("k2")} <= {200, 401}
+    wait_for(lambda: b"event=routes_taken version=11 " in world.gateway.log_text())
     wait_for(lambda: (status_with("k1"), status_with("k2")) == (200, 401))
     bad = large(12, keys=("k2",))
     del bad["routes"][1900]["service"]
