--- a/tests/system/test_directory.py
+++ b/tests/system/test_directory.py
@@ -1,4 +1,4 @@
-"""test_directory.py: what a gateway makes of its directory: outages, copies, entries that come and go"""
+"""test_directory.py: updates of the directory, its outages, and directory copies from other VMs"""
 import itertools
 import json
 import re
@@ -26,16 +26,16 @@
     store.put("op/config", document(2, keys=("k1",)))
     wait_for(lambda: status_with("k2") == 401)
     store.put("op/config", "{garbage")
-    store.put("op/config", document(1))  # older: never
+    store.put("op/config", document(1))  # an older version is ignored
     assert status_with("k1") == 200 and status_with("k2") == 401
-    store.forgotten = store.revision  # history is gone: it lists again
+    store.forgotten = store.revision  # the history is gone, so the gateway lists again
     store.put("op/config", document(3))
     wait_for(lambda: status_with("k2") == 200)
 
 
 def test_large_documents_in_series(world):
-    """Documents that are translated beside the loop: the newest of a series is in force in the end, one that cannot be
-    read changes nothing, and requests are answered meanwhile."""
+    """Documents are decoded outside the event loop. The newest of a series comes into force, an unreadable one changes
+    nothing, and requests are answered in the meantime."""
     def large(version, keys):
         result = document(version, keys)
         result["routes"] += [route(f"more-{number}", "safe", 1) for number in range(2000)]
@@ -53,16 +53,16 @@
     world.store.put("op/config", bad)
     wait_for(lambda: b"routes[1900].service" in world.gateway.log_text())
     assert (status_with("k1"), status_with("k2")) == (200, 401)
-    world.store.put("op/config", large(13, keys=("k2",)))  # it stops while this is on its way
+    world.store.put("op/config", large(13, keys=("k2",)))  # the gateway stops while it reads this version
 
 
 def served_by(world):
-    """The server that answers a request."""
+    """Returns the name of the server that answers a request."""
     return call(world.gateway, "/safe/x")[3].split()[0].decode()
 
 
 def revision_of(world):
-    """The store's revision, as far as the gateway has read."""
+    """Returns the store revision up to which the gateway has read."""
     _, _, body, _ = get(world.gateway.ports["control"], "/metrics")
     return int(re.search(rb"^comet_directory_revision (\d+)$", body, re.M)[1])
 
@@ -80,7 +80,7 @@
 
 
 def test_store_away():
-    """Without a store: 503, not 404; once it is there, served; away again, still served."""
+    """Requests get 503, not 404, until the store is first reached, and are served during a later outage."""
     store = Store()
     store.down = True
     gateway = Gateway(store)
@@ -101,11 +101,11 @@
 
 
 def test_start_in_an_outage():
-    """Callers who may try once more are not asked back while the store still does not answer."""
+    """After a start in an outage, Retry-After is so long that callers with one retry do not use it too early."""
     store = Store()
     store.down = True
     gateway = Gateway(store)
-    def asked_back():
+    def retry_after():
         _, data = request("/safe/x")
         try:
             sock = connect(gateway.ports["callers"])
@@ -115,12 +115,12 @@
         status, headers, _, _ = answer_of(sock)
         assert status == 503
         return headers["retry-after"]
-    wait_for(lambda: asked_back() == "4")
+    wait_for(lambda: retry_after() == "4")
     gateway.end()
 
 
 def timers_towards(port):
-    """The kernel's timers of connections that were made to a port: "02" probes a quiet one."""
+    """Returns the kernel timers of connections to a port; "02" is the keepalive timer."""
     remote = f":{port:04X}"
     with open("/proc/net/tcp", encoding="utf-8") as file:
         rows = [line.split() for line in file.readlines()[1:]]
@@ -128,29 +128,24 @@
 
 
 def test_silent_store_is_noticed(world):
-    """All open connections went silent for good, without a reset. A VM of 65 was waiting in a watch, which may
-    last for ten seconds; nothing came on it and nothing noticed. Routes changed 1.1 s later and were
-    acknowledged, and 4.3 s after that the VM still sent a request by the old ones; it learned of them 5.7 s after
-    the silence, when the watch was over, and an endpoint that leaves is learned of no sooner:
-
-        event=directory_lost reason=timeout
-        event=routes_taken version=5
-
-    So a connection on which an answer may take long is probed while it is quiet."""
+    """Guards against a watch of up to ten seconds on a connection that died without a reset. One of 65 VMs still used
+    old routes 4.3 s after a change was acknowledged, and learned of it 5.7 s after the connection died, when the watch
+    ended with event=directory_lost reason=timeout; endpoints that leave are affected as well. A connection on which an
+    answer may take long is therefore probed while it is idle."""
     wait_for(lambda: timers_towards(world.store.port) == ["02"])
 
 
-def test_calls_in_the_last_moments_of_an_outage(world):
-    """The store was silent for three seconds. Calls made in the last moments of that are never answered, on connections
-    that stand, and a VM that had asked for news within ten seconds learned of routes and leaving endpoints seconds
-    after others. While an outage is known, no call may wait: its answer is missed at once."""
+def test_calls_at_the_end_of_an_outage(world):
+    """Calls made just before a silent store recovers are never answered, although their connections stay open. After an
+    outage of three seconds, a VM with such a watch of up to ten seconds learned of routes and leaving endpoints seconds
+    after others. During a known outage, no call may ask the store to wait, so that a missing answer shows at once."""
     def status_with(key):
         return call(world.gateway, "/safe/x", key=key)[1]
     for version, key in ((2, "k2"), (3, "k1")):
         before = len(world.store.muted)
         world.store.fall_mute()
         wait_for(lambda: len(world.store.muted) >= before + 3)
-        # the first may come before the outage is known
+        # the first call may precede the detection of the outage
         assert max(world.store.muted[before + 1:]) <= 1, world.store.muted
         world.store.mute = False
         world.store.put("op/config", document(version, keys=(key,)))
@@ -158,16 +153,11 @@
 
 
 def test_unanswered_watch_is_noticed(world):
-    """The store fell silent twice, and answered for a second in between. A VM of 65 then asked for news 0.4 s after it
-    had fallen silent again (16.35 s): its watch was never answered, and the connection stood, so that probes of it
-    were answered too. The store was back at 19.57 s, routes changed at 21.42 s, and at 24.43 s the VM still sent a
-    request by the old ones:
-
-        15.5197 edge-yyc-c-10 event=directory_regained reason=answered lost_ms=2075
-        26.5814 edge-yyc-c-10 event=directory_lost reason=timeout answered_ms_ago=10433
-
-    Here an endpoint leaves, views tell that other VMs have read more, and no copies are to be had. The VM is to
-    ask anew, instead of waiting until its watch fails by time."""
+    """Guards against a watch that is never answered on a connection that still answers probes. The store fell silent
+    twice, with one second in between; one of 65 VMs started a watch 0.4 s after the second time (16.35 s). The store
+    recovered at 19.57 s, routes changed at 21.42 s, and the VM still used the old ones at 24.43 s, since its watch
+    timed out only at 26.58 s (answered_ms_ago=10433). Here an endpoint leaves, gossip reports that other VMs have read
+    more, and no directory copy is available: the VM must restart its watch instead of waiting for the timeout."""
     others = OtherVms(world.gateway, 40)
     wait_for(lambda: world.store.waits_ms() >= 5000)
     world.store.lose_watches("servers/i-1")
@@ -179,14 +169,14 @@
 
 
 def losses_of(world):
-    """How often the gateway has lost the store."""
+    """Returns how often the gateway has lost the store."""
     _, _, body, _ = get(world.gateway.ports["control"], "/metrics")
     return int(re.search(rb"^comet_directory_losses_total (\d+)$", body, re.M)[1])
 
 
-def test_news_that_is_not_there(world):
-    """A VM claims to have read what the store does not have. The others ask the store anew for it once, however long
-    the claim stands, and go on with what they have."""
+def test_reported_revision_that_does_not_exist(world):
+    """A VM reports a revision that the store does not have. Other VMs restart their watch for it once, however long the
+    report is repeated, and keep their state."""
     others = OtherVms(world.gateway, 40)
     wait_for(lambda: world.store.waits_ms() >= 5000)
     assert losses_of(world) == 0
@@ -199,17 +189,13 @@
 
 
 def test_watches_begun_together_do_not_end_together(world):
-    """News reach all VMs at once, so that they all begin the next watch at once. Each was to wait for between half and
-    the whole of the longest time, and 65 VMs had all just asked when the store fell silent for 3.2 s: none noticed
-    for 6 s, and none was ahead of the others, who learn of it from one that is:
-
-        19.574 s  the store is back
-        22.295 edge-yyc-b-21 event=directory_lost reason=timeout answered_ms_ago=6477
-
-    So watches that begin together are drawn apart over the whole time; those that follow on one that ended
-    without news are apart already, and wait for at least half of it."""
+    """A change reaches all VMs at once, so all start their next watch together. When each waited between half and all
+    of the maximum, the store fell silent for 3.2 s just after 65 VMs had started one: none noticed for 6 s (the first
+    log line: answered_ms_ago=6477, 2.7 s after the store had recovered), and no VM was ahead for the others to learn
+    from. Watches that start together are therefore spread over the whole maximum; a watch that follows one that ended
+    without a change is spread already, and waits for at least half of it."""
     store = world.store
-    wait_for(lambda: 0 < store.waits_ms() <= 2500)  # alone, it waits so long at most
+    wait_for(lambda: 0 < store.waits_ms() <= 2500)  # the maximum for a VM without peers
     first = []
     for _ in range(24):
         begun = len(store.waits)
@@ -223,15 +209,10 @@
 
 
 def test_ended_connection_is_no_outage(world):
-    """An endpoint left while the connection on which a VM watched the store had just ended; the store itself
-    was there all the time. The VM took the end for an outage of the store, in which entries lapse of
-    living endpoints, and used the one that had left for two seconds more. On 40 days with silent
-    connections and endpoints that leave right after, logs had 345 lines like
-
-        event=endpoint_lapsed endpoint=i-645394df06 out_ms_ago=1062
-
-    and 282 requests were sent to endpoints after such a line. Only a call that fails on a connection of
-    its own, or is refused, shows an outage."""
+    """An endpoint left just after the connection of a VM's watch had ended, while the store was reachable. The VM took
+    the end for an outage, in which entries of live endpoints expire too, and used the endpoint for two more seconds:
+    on 40 days with such faults, 345 event=endpoint_lapsed lines and 282 requests sent after one. Only a call
+    that fails on a new connection, or is refused, shows an outage."""
     world.store.remove("servers/i-1")
     wait_for(lambda: all(served_by(world) == "i-0" for _ in range(4)))
     world.store.cut("servers/i-0")
@@ -240,13 +221,9 @@
 
 
 def test_unreadable_entry(world):
-    """An endpoint's entry was overwritten with something that cannot be read. The VM passed that over and went on
-    with the entry before it, for ever: the endpoint might have said that it leaves, or be gone. Logs had one line,
-
-        event=directory_item_refused key=servers/i-0 ... effect=kept_last
-
-    and requests were sent there from then on. What cannot be read names no endpoint to use; a good entry
-    brings it back."""
+    """An endpoint's entry was overwritten with an unreadable one. The VM logged event=directory_item_refused with
+    effect=kept_last and used the previous entry forever, although the endpoint might have been leaving or gone. An
+    endpoint with an unreadable entry is not used until a valid entry is published."""
     good = dict(world.servers[0].entry)
     bad = ["", "{", "null", "[]", "\x00\x01", "{}"]
     bad += [json.dumps({**good, name: value}) for name, value in (
@@ -271,8 +248,8 @@
 
 
 def test_server_starts_again(world):
-    """A server that starts again under its id knows nothing of before: connections to its earlier life are
-    closed, and what that life had is looked after; late news of it changes nothing."""
+    """A server that restarts under the same ID has no state of its earlier incarnation: idle connections to
+    that are closed, connections with a request in progress are probed, and late entries of it are ignored."""
     one, two = world.servers
     world.store.remove("servers/i-1")
     publish_and_wait(world, one, born=1000)
@@ -282,12 +259,12 @@
     publish_and_wait(world, one, born=2000)
     assert served_by(world) == "i-0" and one.accepted == accepted + 1
 
-    # it serves on, whatever comes late from the life before, and writes its entry anew
+    # a late entry of the earlier incarnation has no effect, and the server publishes its entry again
     publish_and_wait(world, one, born=1000, state="draining")
     assert served_by(world) == "i-0"
     publish_and_wait(world, one, born=2000, state="ready")
 
-    # a request is under way while it starts again: its connection is probed, and its answer passed on
+    # a request is in progress during a restart: its connection is probed, and its answer is forwarded
     answer = threading.Event()
 
     def held(server, sock, path, headers, body):
@@ -306,7 +283,7 @@
     answer.set()
     assert answer_of(caller)[0] == 200 and world.runs(ident) == 1
 
-    # its entry names no life, though it told one before: somebody else has written that
+    # an entry without a process start, after entries with one, was not written by the server
     del one.entry["born"]
     for slots in (4, 5):
         publish_and_wait(world, one, slots=slots)
@@ -314,21 +291,21 @@
     publish_and_wait(world, one, born=3000)
     assert served_by(world) == "i-0"
 
-    # the word of an earlier life that stays the last one is believed
+    # an entry of an earlier incarnation is accepted if no newer entry follows it
     publish_and_wait(world, one, born=1000, state="draining")
     wait_for(lambda: call(world.gateway, "/safe/x")[1] == 503)
     two.publish()
 
 
-def test_answer_lost_with_a_life(world):
-    """What a server had when it ended may have run: that is said at once where it may not be repeated, and where it
-    may, its new life takes it."""
+def test_answer_lost_in_a_crash(world):
+    """A request in progress at a server that crashes may have run. It fails at once if it must not be retried, and is
+    otherwise retried at the new incarnation."""
     one = world.servers[0]
     world.store.remove("servers/i-1")
     publish_and_wait(world, one, born=1000)
     ended = threading.Event()
 
-    def dies(server, sock, path, headers, body):
+    def crashes(server, sock, path, headers, body):
         server.ran(path, headers, body)
         if len(server.runs) == 1:
             ended.wait(20)
@@ -336,27 +313,24 @@
         server.write_head(sock, headers, length=2)
         sock.sendall(b"ok")
         return None
-    world.script("dies", dies)
+    world.script("crashes", crashes)
     one.runs.clear()
     caller = connect(world.gateway.ports["callers"])
-    ident, data = request("/safe/dies")
+    ident, data = request("/safe/crashes")
     caller.sendall(data)
     wait_for(lambda: world.runs(ident) == 1)
     publish_and_wait(world, one, born=2000)
-    ended.set()  # its connection breaks after the news
+    ended.set()  # its connection breaks after the new entry is read
     assert answer_of(caller)[0] == 200 and world.runs(ident) == 2
     one.runs.clear()
-    ident, status, _, _, _ = call(world.gateway, "/once/dies", method="POST")
+    ident, status, _, _, _ = call(world.gateway, "/once/crashes", method="POST")
     assert status == 502 and world.runs(ident) == 1
 
 
-def test_late_word_in_a_lapse():
-    """A server's entry had lapsed while the store was away, and it was used on. Then the last word of its earlier life
-    came, and was taken for news: what was known of lives had been forgotten with the entry.
-
-        event=endpoint_listed endpoint=i-0 ... draining=1 born=1000 restarted=1
-
-    What is used on still has its life."""
+def test_late_entry_in_an_outage():
+    """A server whose entry disappeared in an outage of the store remains in use. A late entry of its earlier
+    incarnation was then taken for a restart (event=endpoint_listed ... draining=1 born=1000 restarted=1), since the
+    incarnation had been forgotten with the entry. An endpoint in use keeps its incarnation."""
     world = World(lapse_ms=20000, settled_ms=20000)
     store, one = world.store, world.servers[0]
     store.remove("servers/i-1")
@@ -368,20 +342,17 @@
     wait_for(lambda: b"event=endpoint_lapsed" in world.gateway.log_text())
     publish_and_wait(world, one, born=1000, state="draining")
     assert served_by(world) == "i-0"
-    # it stays the last word, and is believed
+    # no newer entry follows, so this one is accepted
     wait_for(lambda: b"event=earlier_incarnation_accepted" in world.gateway.log_text())
     assert call(world.gateway, "/safe/x")[1] == 503
     world.gateway.end()
 
 
 def test_corrected_address(world):
-    """Somebody else wrote another server's address into an endpoint's entry, and its server wrote it right again.
-    Connections were kept by the endpoint's id alone, so that the next requests went over one to the other
-    server, which refuses what is not meant for it, and the endpoint counted as replaced for good:
-
-        event=endpoint_trusted endpoint=i-0 result=wrong_instance
-
-    Connections belong to an address as well."""
+    """An endpoint's entry was overwritten with another server's address and then corrected. Connections were pooled by
+    endpoint ID alone, so the next requests went to the other server, which rejects requests that are not meant for it,
+    and the endpoint counted as replaced for good (event=endpoint_trusted endpoint=i-0 result=wrong_instance).
+    Connections are pooled by address as well."""
     one, two = world.servers
     world.store.remove("servers/i-1")
 
@@ -399,9 +370,9 @@
 
 
 def test_keys_of_unusual_bytes():
-    """A list is read in pages, each of which begins after the last key of the one before. Somebody else wrote a key
-    with a blank and an ampersand: it was put into the next call as it is, and no VM that started could read past
-    it. An item without a key ended the list, and what came after it counted as gone."""
+    """A list is read in pages, each of which starts after the last key of the previous one. A key with a space and an
+    ampersand was not escaped in the next call, and no VM that started could read past it. An item without a key ended
+    the list, and all items after it counted as removed."""
     store = Store()
     store.put("a", "x")
     store.put("b c&since_rev=zz#%", "x")
@@ -418,8 +389,8 @@
 
 
 def test_ids_of_unusual_bytes(world):
-    """Ids that differ in letter case are two endpoints, and ids may be of any script. One that could not be a header's
-    value names no endpoint, and the others hold."""
+    """IDs are case-sensitive and may use any script. An entry whose ID is not a valid header value is rejected, without
+    an effect on the others."""
     for name in ("I-0", "\u00fc/1", "i-0,i-1", "x" * 200):
         world.servers.append(Server(world.store, name, "svc"))
     good = world.servers[0].entry
@@ -432,7 +403,7 @@
         return server.plain(sock, path, headers, body)
     world.script("x", strict)
     wait_for(lambda: revision_of(world) == world.store.revision)
-    for one in world.servers:  # each in turn is the only one that does not leave
+    for one in world.servers:  # each in turn is the only one that is not draining
         for other in world.servers:
             other.publish(state="ready" if other is one else "draining")
         wait_for(lambda: revision_of(world) == world.store.revision)
@@ -445,9 +416,8 @@
 
 
 def test_answer_without_end():
-    """A VM is asked for its copy of the directory, since its view names a newer revision, and what it sends never
-    ends. Bytes beyond any proper size were thrown away and read on, for ever: no other copy was asked for
-    any more."""
+    """A VM requests a directory copy from a peer that reports a newer revision, and the answer never ends. Bytes beyond
+    the size limit were discarded and read forever, so no other copy was ever requested."""
     store = Store()
     store.down = True
     gateway = Gateway(store)
@@ -473,7 +443,7 @@
             sock.sendall(chunk)
         assert False, "64 MB were read"
     except OSError:
-        pass  # it has closed
+        pass  # the gateway has closed the connection
     assert "resync_failed reason=too_large" in gateway.end()
 
 
@@ -483,9 +453,9 @@
 
 
 def test_caller_that_does_not_read(world):
-    """A caller sent one request after the other on a connection and read no answer. All of them were answered, into
-    memory: of 64,000 requests for the metrics, in two megabytes, those of the first three seconds took 400 MB.
-    The next request is not read while answers wait to be written."""
+    """A caller pipelined requests without reading answers, and all answers were buffered: of 64,000 requests for the
+    metrics (2 MB), those of the first three seconds took 400 MB. The next request must not be read while answers are
+    unsent."""
     sock = connect(world.gateway.ports["control"])
     before = memory_kb(world.gateway)
     sock.settimeout(1)
@@ -495,11 +465,11 @@
             sock.sendall(b"GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n" * 32)
             asks += 32
     except OSError:
-        pass  # it reads no further
-    for _ in range(200):  # by then it has read what there is, 16 KB each time
+        pass  # the gateway has stopped reading
+    for _ in range(200):  # enough iterations to read all input, 16 KB at a time
         assert world.gateway.ready()
     assert memory_kb(world.gateway) - before < 100000, (asks, before, memory_kb(world.gateway))
-    # one that reads at last gets all of what it asked for
+    # a caller that reads late gets all answers
     sock.close()
     sock = connect(world.gateway.ports["control"])
     sock.sendall(b"GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n" * 64)
@@ -510,7 +480,7 @@
 
 
 def test_bodies_to_internal_addresses(world):
-    """Nothing that is asked on the internal addresses has a body, and none is held."""
+    """Requests with a body are rejected on the internal addresses, without buffering it."""
     for port in ("control", "readiness"):
         sock = connect(world.gateway.ports[port])
         sock.sendall(b"POST /metrics HTTP/1.1\r\nHost: x\r\nContent-Length: 2000000\r\n\r\n" + b" " * 100000)
@@ -518,12 +488,12 @@
 
 
 def test_keep_alive_of_endpoints(world):
-    """How long an endpoint keeps a connection is read strictly: one whose answer told nothing of that was taken to
-    close at once."""
+    """The Keep-Alive header is parsed strictly: an endpoint whose answer gave no valid timeout was taken to close the
+    connection at once."""
     world.store.remove("servers/i-1")
     wait_for(lambda: revision_of(world) == world.store.revision)
 
-    def tells(text):
+    def sends_keep_alive(text):
         def script(server, sock, path, headers, body):
             server.ran(path, headers, body)
             server.write_head(sock, headers, extra=f"Keep-Alive: {text}\r\n", length=2)
@@ -532,15 +502,15 @@
     one = world.servers[0]
     for text, kept in (("timeout=5, max=9", True), ("max=9, Timeout = 5", True), ("x-timeout=0", True),
                        ("timeout=zero", True), ("timeout=", True), ("timeout=0", False)):
-        world.script("tells", tells(text))
-        wait_for(lambda: call(world.gateway, "/safe/tells")[1] == 200)
+        world.script("sends_keep_alive", sends_keep_alive(text))
+        wait_for(lambda: call(world.gateway, "/safe/sends_keep_alive")[1] == 200)
         accepted = one.accepted
-        assert call(world.gateway, "/safe/tells")[1] == 200
+        assert call(world.gateway, "/safe/sends_keep_alive")[1] == 200
         assert (one.accepted == accepted) == kept, text
 
 
 def test_copy_from_other_vm():
-    """A VM that cannot reach the store takes what another one has read."""
+    """A VM that cannot reach the store fetches a directory copy from another VM."""
     store = Store()
     store.put("op/config", document(1))
     Server(store, "i-0", "svc")
@@ -556,8 +526,8 @@
     there.end()
 
 
-def test_copies_do_not_hold_up_the_next(world):
-    """A VM that has its copy does not count as one that is still read to: connections end with it."""
+def test_completed_copies_free_their_connections(world):
+    """A completed directory copy does not count as a transfer in progress: its connection is closed."""
     kept = []
     for _ in range(6):
         sock = connect(world.gateway.ports["control"])
@@ -571,7 +541,7 @@
 
 
 def test_busy_store():
-    """A store that refuses every other call is still read whole: a list goes on where it was."""
+    """A store that rejects every other call is still read completely: a list continues where it stopped."""
     store = Store()
     store.put("op/config", document(1))
     for i in range(8):
@@ -584,7 +554,7 @@
 
 
 def test_answers_too_large():
-    """An answer beyond any proper size is not kept, nor believed."""
+    """An answer beyond the size limit is neither buffered nor applied."""
     store = Store()
     store.too_large = True
     gateway = Gateway(store)
@@ -599,11 +569,12 @@
 if __name__ == "__main__":
     run_tests(
         [test_configuration, test_large_documents_in_series, test_servers_leave, test_silent_store_is_noticed,
-         test_calls_in_the_last_moments_of_an_outage, test_unanswered_watch_is_noticed, test_news_that_is_not_there,
+         test_calls_at_the_end_of_an_outage, test_unanswered_watch_is_noticed,
+         test_reported_revision_that_does_not_exist,
          test_watches_begun_together_do_not_end_together, test_ended_connection_is_no_outage,
-         test_unreadable_entry, test_server_starts_again, test_answer_lost_with_a_life,
-         test_corrected_address, test_ids_of_unusual_bytes, test_copies_do_not_hold_up_the_next,
+         test_unreadable_entry, test_server_starts_again, test_answer_lost_in_a_crash,
+         test_corrected_address, test_ids_of_unusual_bytes, test_completed_copies_free_their_connections,
          test_caller_that_does_not_read, test_bodies_to_internal_addresses, test_keep_alive_of_endpoints],
-        [test_store_away, test_late_word_in_a_lapse, test_keys_of_unusual_bytes,
+        [test_store_away, test_late_entry_in_an_outage, test_keys_of_unusual_bytes,
          test_answer_without_end, test_start_in_an_outage, test_copy_from_other_vm, test_busy_store,
          test_answers_too_large])
