--- a/tests/system/suspended_clock.py
+++ b/tests/system/suspended_clock.py
@@ -1,11 +1,11 @@
-"""suspended_clock.py: the clock of a VM that is suspended, for processes of the tests (tests/preload/suspend.c)"""
+"""suspended_clock.py: simulates the clock of a VM that was suspended (tests/preload/suspend.c)"""
 import os
 import struct
 import tempfile
 
 
 class SuspendedClock:
-    """The time for which a process was suspended, by its clock that counts that."""
+    """Adds suspended time to the clock of a process that counts it."""
 
     def __init__(self, build):
         self.library = f"{build}/tests/libsuspend.so"
@@ -19,7 +19,7 @@
         self.file.flush()
 
     def environment(self):
-        """What a process is started with that goes by this clock."""
+        """Returns the environment of a process that uses this clock."""
         more = {"COMET_TEST_SUSPENDED": self.file.name, "LD_PRELOAD": self.library,
                 "ASAN_OPTIONS": os.environ.get("ASAN_OPTIONS", "") + ":verify_asan_link_order=0"}
         return {**os.environ, **more}
--- a/tests/system/test_narrow_links.py
+++ b/tests/system/test_narrow_links.py
@@ -1,7 +1,7 @@
-"""test_narrow_links.py: gateways on links that carry a document of the directory in seconds
+"""test_narrow_links.py: gateways on links that take seconds to carry a routing document
 
-Each process receives and sends at most what a link of 10 Mbit/s carries (tests/preload/narrow_link.c). What is compared is the order of
-events and what is in force in the end.
+Each process is limited to a 10 Mbit/s link in each direction unless a test sets another rate
+(tests/preload/narrow_link.c). The tests compare the order of events and the final state.
 """
 import json
 import re
@@ -12,11 +12,11 @@
 
 LARGE_ROUTES = 4200
 VMS = 10
-IN_FORCE_S = 17  # a change of the configuration is due everywhere
+IN_FORCE_S = 17  # time limit for a configuration change to reach all VMs
 
 
 def large_document(version, routes=LARGE_ROUTES, keys=("k1", "k2")):
-    """A document of about a megabyte as the store sends it."""
+    """Returns a routing document of about a megabyte, as the store sends it."""
     result = document(version, keys)
     result["routes"] += [route(word, "safe", 2) for word in words(routes)]
     return result
@@ -27,16 +27,14 @@
 
 
 def order_of(gateway, *marks):
-    """Positions of the first lines that hold these marks; -1: there is none."""
+    """Returns the position of the first occurrence of each mark in the log; -1: none."""
     text = log_of(gateway)
     return [text.find(mark) for mark in marks]
 
 
 def test_last_answer_of_a_connection_is_written():
-    """Copies of the directory were cut off one second after they had been queued, since the close of their connection
-    did not wait until they were written: on links that share a second among several copies none arrived.
-
-        event=resync_failed reason=broken status=200"""
+    """The connection of a directory copy was closed one second after the copy had been queued, written or not: on a
+    link with several concurrent copies, none arrived (event=resync_failed reason=broken status=200)."""
     store = Store()
     store.put("op/config", large_document(1))
     server = Server(store, "i-0", "svc")
@@ -53,10 +51,9 @@
 
 
 def test_document_that_takes_longer_than_a_call():
-    """A call to the store had 0.8 s for its whole answer, beside the time for which it waited. A document that takes
-    longer on its VM's link was never read: the link was full, and each attempt began anew.
-
-        event=transfer_abandoned ... reason=timeout bytes=912384 expected=1116180"""
+    """A call to the store had 0.8 s for its whole answer, in addition to its waiting time. A document that takes longer
+    on the VM's link was never read, since each attempt started again (event=transfer_abandoned ... reason=timeout
+    bytes=912384 expected=1116180)."""
     world = World(env=narrow(BUILD, incoming=250000))
     world.store.put("op/config", large_document(2, keys=("k1",)))
     wait_for(lambda: call(world.gateway, "/safe/x", key="k2")[1] == 401)
@@ -65,12 +62,12 @@
 
 
 def test_endpoint_leaves_while_a_document_arrives():
-    """News of an endpoint came in the same answer as a document, and waited until that was whole: requests were sent to
-    endpoints 3.6 and 4.0 s after they had said that they leave."""
+    """The change of an endpoint arrived in the same answer as a document and was applied only when that was complete:
+    requests were sent to endpoints 3.6 and 4.0 s after they had announced that they leave."""
     world = World(env=narrow(BUILD, incoming=200000))
     wait_for(lambda: world.store.waiting > 0)
     world.store.put("op/config", large_document(2))
-    wait_for(lambda: world.store.waiting == 0)  # the document is on its way
+    wait_for(lambda: world.store.waiting == 0)  # the document is in transfer
     world.store.remove("servers/i-1")
     wait_for(lambda: "endpoint_gone endpoint=i-1" in log_of(world.gateway))
     assert "routes_taken version=2" not in log_of(world.gateway)
@@ -85,13 +82,13 @@
 
 
 def peers_bytes(gateway):
-    """What it has received of other VMs on connections."""
+    """Returns the bytes that the gateway has received from other VMs on TCP connections."""
     text = get(gateway.ports["control"], "/metrics", gateway.address)[2]
     return int(re.search(rb'^comet_link_bytes_total{use="peers",direction="in"} (\d+)$', text, re.M)[1])
 
 
 class NarrowZone:
-    """Gateways of one zone on narrow links, of which two read the store."""
+    """Gateways of one zone on narrow links; two of them are directory readers."""
 
     def __init__(self, env=None):
         self.store = Store()
@@ -116,9 +113,9 @@
 
 
 def test_zone_on_narrow_links():
-    """In a zone of 26 VMs two readers hand out what they have read. A document of a megabyte came to 24 followers within
-    8 s, and to some never: three copies at a time, each cut off after a second, the others refused every 0.4 s.
-    Meanwhile requests went by routes that had changed, and to endpoints that had left."""
+    """In a zone of 26 VMs, two readers serve 24 followers. A document of a megabyte took up to 8 s to reach them and
+    never reached some: three copies ran at a time, each was cut off after a second, and other requests were rejected every
+    0.4 s. Meanwhile, followers used old routes and endpoints that had left."""
     zone = NarrowZone()
     zone.store.put("op/config", large_document(2))
     zone.store.remove("servers/i-1")
@@ -137,17 +134,17 @@
 
 
 def test_document_that_changes_alone():
-    """The last of a series of documents came to the two readers of each zone, and to no other VM until an endpoint
-    changed: what readers told of was how far they knew endpoints."""
+    """The last of a series of documents reached only the two readers of each zone until an endpoint changed, since
+    readers reported only their position in the endpoints."""
     zone = NarrowZone()
     zone.store.put("op/config", large_document(2))
     zone.wait_for_version(2)
     before = [peers_bytes(vm) for vm in zone.vms]
     zone.store.put("op/config", large_document(3, routes=LARGE_ROUTES + 1))
     zone.wait_for_version(3)
-    # what VMs hand on grows with the change, not with the document
-    handed_on = sum(peers_bytes(vm) - number for vm, number in zip(zone.vms, before))
-    assert handed_on < len(json.dumps(large_document(3))), handed_on
+    # the bytes between VMs grow with the change, not with the document
+    forwarded = sum(peers_bytes(vm) - number for vm, number in zip(zone.vms, before))
+    assert forwarded < len(json.dumps(large_document(3))), forwarded
     logs = zone.end()
     assert not any("transfer_abandoned" in text or "resync_failed" in text for text in logs)
 
--- a/tests/system/test_resume.py
+++ b/tests/system/test_resume.py
@@ -1,4 +1,4 @@
-"""A stream whose VM is killed goes on at another VM, for its own team only."""
+"""test_resume.py: a stream whose VM is killed resumes at another VM, for its own team only"""
 import http.client
 import os
 import sys
@@ -16,7 +16,7 @@
 
 
 def begin(fleet, vm):
-    """Starts a stream; returns its answer and the token to resume it with."""
+    """Starts a stream; returns its connection, its answer and its resume token."""
     connection = http.client.HTTPConnection(fleet.host, port(fleet, vm), timeout=20)
     connection.request("POST", "/v1/completions", BODY,
                        {"Authorization": "Bearer " + fleet.team_key("a")[0]})
@@ -54,18 +54,18 @@
             while True:
                 more = answer.read(100)
                 if not more:
-                    raise SystemExit("an answer that was cut looks whole")
+                    raise SystemExit("a truncated answer ended like a complete one")
                 part += more
         except (http.client.IncompleteRead, ConnectionError) as error:
             part += getattr(error, "partial", b"")
         if resume(fleet, "vm2", token, len(part), "b")[0] != 404:
-            raise SystemExit("another team opened the stream")
+            raise SystemExit("another team resumed the stream")
         status, rest = resume(fleet, "vm2", token, len(part), "a")
         if status != 200 or part + rest != whole:
-            raise SystemExit(f"resumed to {status}, {rest[:120]!r} {len(part)} of {len(whole)} bytes")
+            raise SystemExit(f"resume returned {status}, {rest[:120]!r}, after {len(part)} of {len(whole)} bytes")
         doubled = [i for i, n in fleet.runs()[0].items() if n > 1]
         if doubled:
-            raise SystemExit(f"run twice: {doubled}")
+            raise SystemExit(f"requests that ran twice: {doubled}")
     finally:
         fleet.close()
 
--- a/tests/system/test_suspended.py
+++ b/tests/system/test_suspended.py
@@ -1,8 +1,8 @@
-"""test_suspended.py: a VM that was suspended for seconds
+"""test_suspended.py: a VM that is suspended for seconds
 
-The steady clock does not count the time in which a VM is suspended, and all deadlines and ages went by it: after 3 s
-of it a request that waited with a deadline of 2.5 s was sent to an endpoint, and told that 1,798 ms were left; one of 5 s
-was told 4,297 ms where some 1,200 were left.
+CLOCK_MONOTONIC does not count the time in which a VM is suspended, and all deadlines and ages used it. After 3 s of
+suspension, a queued request with a deadline of 2.5 s was still sent to an endpoint, with 1,798 ms as the remaining
+time; one with a deadline of 5 s was sent with 4,297 ms, although about 1,200 ms remained.
 """
 import re
 import signal
@@ -15,7 +15,7 @@
 
 
 class Suspendable(World):
-    """A gateway before one server of one slot, whose clock can be made that of a VM that was suspended."""
+    """A gateway with one server of one slot, and a clock that can simulate a suspension of the VM."""
 
     def __init__(self):
         self.clock = SuspendedClock(BUILD)
@@ -26,14 +26,14 @@
         self.gateway.process.send_signal(signal.SIGSTOP)
         wait_for(lambda: open(f"/proc/{self.gateway.process.pid}/stat", encoding="utf-8").read().split()[2] == "T")
 
-    def go_on(self, seconds):
-        """It was suspended for so long."""
+    def resume(self, seconds):
+        """Continues the gateway after a suspension of this length."""
         self.clock.add(seconds)
         self.gateway.process.send_signal(signal.SIGCONT)
 
 
 def occupy(world, requests=4, sent=2):
-    """All that the server may have at a time, until the event that is returned is set."""
+    """Fills the server's capacity with requests that end when the returned event is set."""
     over = threading.Event()
 
     def held(server, sock, path, headers, body):
@@ -52,7 +52,7 @@
 
 
 def send_and_wait(world, path, **more):
-    """A request that waits for room in the gateway's queue."""
+    """Sends a request and waits until it is queued in the gateway."""
     sock = connect(world.gateway.ports["callers"])
     ident, data = request(path, **more)
     sock.sendall(data)
@@ -62,13 +62,13 @@
     return sock, ident
 
 
-def test_deadline_of_a_request_that_waits():
-    """Its time is over while the VM is suspended: it is not sent to anybody."""
+def test_deadline_of_a_queued_request():
+    """A request whose deadline passes during a suspension is not sent to an endpoint."""
     world = Suspendable()
     over, _ = occupy(world)
     sock, ident = send_and_wait(world, "/once/x", method="POST", deadline_ms=2500)
     world.stop()
-    world.go_on(3)
+    world.resume(3)
     over.set()
     assert answer_of(sock)[0] in (503, 504)
     time.sleep(0.2)
@@ -77,12 +77,12 @@
 
 
 def test_what_is_left_of_a_deadline():
-    """What an endpoint is told to be left does not count the time of the suspension, a second."""
+    """The remaining time that an endpoint is sent excludes a suspension of one second."""
     world = Suspendable()
     over, _ = occupy(world)
     sock, ident = send_and_wait(world, "/safe/x", deadline_ms=4900)
     world.stop()
-    world.go_on(1)
+    world.resume(1)
     over.set()
     status = answer_of(sock)[0]
     told = [int(headers["x-cometspindle-deadline-ms"]) for run, _, headers, _ in world.servers[0].runs if run == ident]
@@ -91,8 +91,8 @@
 
 
 def test_answers_come_before_timers():
-    """An answer that came while the process was stopped is handled before the deadline that passed meanwhile: the caller
-    got 504 for a request whose answer lay there."""
+    """An answer that arrived while the process was stopped is handled before a deadline that passed in the meantime:
+    the caller got 504 although the answer was waiting in the socket."""
     world = World(servers=1)
     begun, over = threading.Event(), threading.Event()
 
@@ -112,33 +112,33 @@
         world.gateway.process.send_signal(signal.SIGSTOP)
         time.sleep(0.3)
         over.set()
-        time.sleep(1)  # its deadline passes; the answer lies unread
+        time.sleep(1)  # the deadline passes while the answer is unread
         world.gateway.process.send_signal(signal.SIGCONT)
         assert answer_of(sock)[0] == 200
     world.gateway.end()
 
 
-def pace(world):
-    """The server's pace as the gateway has learned it."""
+def relative_latency(world):
+    """Returns the server's relative latency as the gateway has learned it."""
     text = get(world.gateway.ports["control"], "/metrics")[2].decode()
     return re.search(r"^comet_endpoint_pace{.*} (.*)$", text, re.M).group(1)
 
 
-def test_own_absence_is_not_learned():
-    """A VM that was suspended while an endpoint worked does not take the time for the endpoint's."""
+def test_suspension_is_not_learned_as_latency():
+    """The time of a suspension does not count as latency of an endpoint."""
     world = Suspendable()
     for _ in range(5):
         assert call(world.gateway, "/once/x", method="POST")[1] == 200
-    before = pace(world)
+    before = relative_latency(world)
     over, socks = occupy(world, requests=1, sent=1)
     world.stop()
-    world.go_on(3)
+    world.resume(3)
     over.set()
     assert answer_of(socks[0])[0] == 200
-    assert pace(world) == before
+    assert relative_latency(world) == before
     world.gateway.end()
 
 
 if __name__ == "__main__":
-    run_tests([], [test_deadline_of_a_request_that_waits, test_what_is_left_of_a_deadline,
-                   test_answers_come_before_timers, test_own_absence_is_not_learned])
+    run_tests([], [test_deadline_of_a_queued_request, test_what_is_left_of_a_deadline,
+                   test_answers_come_before_timers, test_suspension_is_not_learned_as_latency])
