--- a/libcometspindle/adapters/gateway/gateway_private.h
+++ b/libcometspindle/adapters/gateway/gateway_private.h
@@ -164,14 +164,14 @@
 
 void
 comet_gateway_request_slot(void *ctx, struct comet_placement_item *item, struct comet_shard *shard,
-	const struct comet_slot_request *ask);
+	const struct comet_slot_request *request);
 
 void
 comet_gateway_cancel_slot_request(void *ctx, struct comet_placement_item *item);
 
 void
 comet_gateway_grant_slot(
-	void *ctx, const struct comet_slot_request *ask, struct comet_instance *instance);
+	void *ctx, const struct comet_slot_request *request, struct comet_instance *instance);
 
 extern const struct comet_grants_ops comet_gateway_grants_ops;
 
--- a/tests/system/test_narrow_links.py
+++ b/tests/system/test_narrow_links.py
@@ -114,8 +114,8 @@
 
 def test_zone_on_narrow_links():
     """In a zone of 26 VMs, two readers serve 24 followers. A document of a megabyte took up to 8 s to reach them and
-    never reached some: three copies ran at a time, each was cut off after a second, and other requests were rejected every
-    0.4 s. Meanwhile, followers used old routes and endpoints that had left."""
+    never reached some: three copies ran at a time, each was cut off after a second, and other requests were rejected
+    every 0.4 s. Meanwhile, followers used old routes and endpoints that had left."""
     zone = NarrowZone()
     zone.store.put("op/config", large_document(2))
     zone.store.remove("servers/i-1")
