--- a/tests/system/test_eras.py
+++ b/tests/system/test_eras.py
@@ -151,13 +151,13 @@
 def test_era_that_is_not_told():
     """A header that is missing or no number changes nothing, and is logged once."""
     world = eras()
-    before = world.gateway.log_text().count(b"event=directory_era_untold")
+    before = world.gateway.log_text().count(b"event=directory_era_invalid")
     for told in (None, "x", "-1", "7.5"):
         world.store.era = told
         touch(world, 3)
         wait_for(lambda: metric(world.gateway, "comet_directory_revision") == world.store.revision)
         assert metric(world.gateway, "comet_directory_era") == 7
-    assert world.gateway.end().count("event=directory_era_untold") == before + 1
+    assert world.gateway.end().count("event=directory_era_invalid") == before + 1
 
 
 def test_lower_era_decides_nothing():
