--- a/tests/system/platform_standin.py
+++ b/tests/system/platform_standin.py
@@ -1,7 +1,7 @@
-"""platform_standin.py: a small stand-in for the platform's store and its servers
+"""platform_standin.py: test double of the platform's store and servers
 
-The store answers lists and watches from a dictionary; each server runs a script that the test
-gives it by path. Everything listens on loopback, on ports of the kernel's choice.
+The store answers lists and watches from a dictionary; each server runs the script that the test
+sets for the path. All sockets listen on loopback, on ports chosen by the kernel.
 """
 import base64
 import json
@@ -21,8 +21,8 @@
 
 
 def free_ports(address):
-    """A port of the kernel's choice for each of a gateway's uses. All are held until the last is chosen: let go one
-    by one, the kernel gave one of them out again for 15 of 20,000 gateways, which then could not listen."""
+    """Returns a free port for each of a gateway's listeners. All ports stay bound until the last one is chosen: when
+    each was closed at once, the kernel assigned a port twice for 15 of 20,000 gateways, which could not listen."""
     names = ("callers", "readiness", "control", "peers")
     held = {name: listen(address) for name in names}
     ports = {name: sock.getsockname()[1] for name, sock in held.items()}
@@ -31,7 +31,7 @@
     return ports
 
 
-COPIES_MAX = 1000  # of a store, to which it may go back
+COPIES_MAX = 1000  # number of earlier states to which a store can be restored
 
 
 class Reader:
@@ -61,7 +61,7 @@
         return part
 
     def head(self):
-        """First line and headers (names in lower case), or None at the end."""
+        """Returns the first line and the headers (names in lower case), or (None, None) at the end of the stream."""
         head = self.until(b"\r\n\r\n")
         if head is None:
             return None, None
@@ -70,7 +70,7 @@
         return lines[0], {name.lower(): value for name, value in pairs}
 
     def body(self, headers):
-        """(body, whole)"""
+        """Returns (body, whether it is complete)."""
         if "content-length" in headers:
             body = self.exactly(int(headers["content-length"]))
             return (body, True) if body is not None else (self.data, False)
@@ -90,31 +90,31 @@
 
 
 class Store:
-    """The platform's store: items, a revision, and watches that wait."""
+    """The platform's store: items, a revision, and watches that wait for changes."""
 
     def __init__(self):
         self.sock = listen()
         self.port = self.sock.getsockname()[1]
         self.lock = threading.Condition(threading.RLock())
-        self.generation = 0  # of its history
+        self.generation = 0  # increases with each restore, and ends the watches
         self.items = {}
         self.log = []
         self.revision = 0
         self.down = False
-        self.busy_calls = 0  # of so many calls it refuses all but one; 0: none
+        self.busy_calls = 0  # only every n-th call is served, the others get 429; 0: all are served
         self.calls = 0
-        self.too_large = False  # answers are larger than any proper one
-        self.forgotten = 0  # revisions up to this one are history no more
+        self.too_large = False  # responses exceed the size limit of every client
+        self.forgotten = 0  # watches from revisions below this one get 410
         self.sockets = set()
-        self.waiting = 0  # watches
-        self.lost = 0     # times at which all that waited were lost
+        self.waiting = 0  # number of waiting watches
+        self.lost = 0     # how often the waiting watches were lost
         self.waits = []   # wait_ms of each watch
-        self.era = None   # told in a header; None: not told
+        self.era = None   # sent in the header Store-Era; None: header omitted
         self.copies = []  # (revision, items) after each change
         self.mute = False
-        self.muted = []   # what was asked while it was mute: wait_ms of a watch, 0 for a list
-        self.held_back = None      # key whose reads are not answered until it is another one
-        self.held_back_calls = 0   # reads that wait for that
+        self.muted = []   # calls received while mute: wait_ms of a watch, 0 for a list
+        self.held_back = None      # reads of this key wait until the value changes
+        self.held_back_calls = 0   # reads that had to wait for that
         threading.Thread(target=self.accept, daemon=True).start()
 
     def put(self, key, value):
@@ -137,8 +137,8 @@
             self.lock.notify_all()
 
     def go_back(self, changes, then=None):
-        """It was away, and comes back from a copy that lacks so many changes, one era later; then() may write to it
-        before anybody reads."""
+        """Restores the store from a copy without the last changes, one era later. then() may write to the store before
+        any client reads."""
         with self.lock:
             self.copies = self.copies[:max(len(self.copies) - changes, 1)]
             self.revision, items = self.copies[-1]
@@ -153,10 +153,10 @@
                 try:
                     sock.shutdown(socket.SHUT_RDWR)
                 except OSError:
-                    pass  # the other side was faster
+                    pass  # the peer has already closed the connection
 
     def cut(self, key):
-        """While a watch waits all connections end, and an item goes before anybody can ask again."""
+        """Closes all connections while a watch waits, and removes an item before any client can call again."""
         with self.lock:
             self.lock.wait_for(lambda: self.waiting > 0)
             for sock in list(self.sockets):
@@ -164,18 +164,18 @@
             self.remove(key)
 
     def hold_back(self, key):
-        """Reads of this item by its key are not answered any more; those of another one are."""
+        """Delays reads of this item by its key until another key is set; reads of other items are answered."""
         with self.lock:
             self.held_back = key
             self.lock.notify_all()
 
     def waits_ms(self):
-        """How long the newest watch waits; 0: none does."""
+        """Returns the wait of the newest watch, or 0 if no watch waits."""
         with self.lock:
             return self.waits[-1] if self.waiting > 0 else 0
 
     def fall_mute(self):
-        """Connections end; calls that come from now on are never answered, though their connections stand."""
+        """Closes all connections. Later calls are never answered, but their connections stay open."""
         with self.lock:
             self.lock.wait_for(lambda: self.waiting > 0)
             self.mute = True
@@ -183,7 +183,7 @@
                 sock.shutdown(socket.SHUT_RDWR)
 
     def lose_watches(self, key):
-        """Watches that wait are never answered, though their connections stand, and an item goes. All other calls are
+        """Removes an item without ever answering the waiting watches, whose connections stay open. All other calls are
         answered."""
         with self.lock:
             self.lock.wait_for(lambda: self.waiting > 0)
@@ -200,7 +200,7 @@
         try:
             self.answer_calls(sock)
         except OSError:
-            return  # the caller is gone
+            return  # the client has closed the connection
         finally:
             self.sockets.discard(sock)
 
@@ -215,7 +215,7 @@
             status, answer = self.answer(path, args)
             if answer is None:
                 while reader.more():
-                    pass  # a connection that has lost an answer says nothing more
+                    pass  # a connection with a lost response stays open but sends nothing more
                 return
             body = json.dumps(answer).encode()
             era = b"" if self.era is None else b"Store-Era: %s\r\n" % str(self.era).encode()
@@ -240,7 +240,7 @@
                 return (404, {}) if item is None else (200, {**item, "current_rev": self.revision})
             prefix = args.get("path_prefix", "")
             if path == "/kv-range":
-                # two to a page, so that pages are exercised
+                # two items per page, so that tests cover paging
                 keys = sorted(k for k in self.items if k.startswith(prefix) and k > args.get("since_rev", ""))
                 return 200, {"entries": [self.items[k] for k in keys[:2]],
                              "has_more": len(keys) > 2, "current_rev": self.revision}
@@ -257,7 +257,7 @@
                                wait_ms / 1000)
             self.waiting -= 1
             if self.generation != history:
-                return 503, {}  # cut
+                return 503, {}  # the store was restored; the connection is already shut down
             if self.lost != lost:
                 return 0, None
             if self.down:
@@ -265,7 +265,7 @@
             return 200, {"events": self.news(prefix, since), "current_rev": self.revision}
 
     def news(self, prefix, since):
-        """What has changed under a prefix after a revision, each change by itself."""
+        """Returns every change under a prefix after a revision, without merging changes of the same key."""
         found = []
         for event in reversed(self.log):
             if event["revision"] <= since:
@@ -276,14 +276,14 @@
 
 
 class Server:
-    """One server: runs scripts by the last part of the path and writes down what it ran."""
+    """One server: selects a script by the last segment of the path, and records the requests that it ran."""
 
     def __init__(self, store, name, service, slots=4):
-        # bound beside the one that listens: nobody else is given the port while the process is away
-        self.hold = socket.socket()
-        self.hold.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self.hold.bind(("127.0.0.1", 0))
-        self.port = self.hold.getsockname()[1]
+        # a second bound socket reserves the port while the simulated process is down
+        self.port_reservation = socket.socket()
+        self.port_reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        self.port_reservation.bind(("127.0.0.1", 0))
+        self.port = self.port_reservation.getsockname()[1]
         self.sock = listen(port=self.port)
         self.name = name
         self.runs = []    # (id, path, headers, body)
@@ -304,7 +304,7 @@
     def publish(self, **change):
         self.entry.update(change)
         if self.dead:
-            return  # who would write it?
+            return  # a crashed server can't write its entry
         self.store.put("servers/" + self.name, self.entry)
 
     def accept(self):
@@ -313,33 +313,33 @@
             try:
                 sock, _ = listener.accept()
             except OSError:
-                return  # its process has ended
+                return  # the simulated process has ended
             if self.dead:
-                self.sockets.add(sock)  # in silence: kept, and never read
+                self.sockets.add(sock)  # the connection stays open, but is never read
                 continue
             self.accepted += 1
             threading.Thread(target=self.serve, args=(sock,), daemon=True).start()
 
     def start_again(self):
-        """Its process ends with all that it had, and another begins under the same id."""
+        """Ends the process with all its connections, and starts a new one under the same id."""
         for sock in list(self.sockets):
             try:
                 sock.shutdown(socket.SHUT_RDWR)
             except OSError:
-                pass  # the other side was faster
+                pass  # the peer has already closed the connection
         self.publish(born=self.entry.get("born", 0) + 1, state="ready", sequence=1)
 
     def crash(self, how, away_s=1.0, lapse_s=0.6):
-        """Its process ends without a word: connections are reset, end, or stand in silence. Its entry goes after
-        lapse_s, and away_s after the crash another process is there at its address, under a new id."""
+        """Ends the process without notice: connections are reset, closed, or stay open without data. The entry is
+        removed after lapse_s; away_s after the crash a new process listens at the same address, under a new id."""
         with self.lock:
             if self.dead:
-                return  # two requests crash it at once
+                return  # another request has already crashed it
             self.dead = True
         self.crashes += 1
         listener, self.sock = self.sock, None
         if how != "silence":
-            listener.shutdown(socket.SHUT_RDWR)  # wakes who accepts
+            listener.shutdown(socket.SHUT_RDWR)  # wakes the thread in accept()
             listener.close()
         for sock in list(self.sockets):
             if how == "reset":
@@ -352,7 +352,7 @@
 
     def come_back(self, listener, lapse_s, away_s):
         time.sleep(lapse_s)
-        if "servers/" + self.name in self.store.items:  # which may have gone back to before it was there
+        if "servers/" + self.name in self.store.items:  # the store may have been restored from a copy without it
             self.store.remove("servers/" + self.name)
         time.sleep(max(away_s - lapse_s, 0))
         if listener.fileno() >= 0:
@@ -367,7 +367,7 @@
 
     def serve(self, sock):
         reader = Reader(sock)
-        life = self.name
+        process_name = self.name
         self.sockets.add(sock)
         try:
             while True:
@@ -375,9 +375,9 @@
                 if line is None:
                     return
                 body, _ = reader.body(headers)
-                if self.dead or self.name != life:
+                if self.dead or self.name != process_name:
                     while reader.more():
-                        pass  # in silence
+                        pass  # keeps the connection open without answering
                     return
                 path = line.split()[1]
                 script = self.scripts.get(path.split("/")[-1], Server.plain)
@@ -385,7 +385,7 @@
                     sock.close()
                     return
         except (OSError, ValueError):
-            return  # its connection, or its process, has ended
+            return  # the connection or the simulated process has ended
         finally:
             self.sockets.discard(sock)
 
@@ -414,9 +414,9 @@
 
 
 def wait_for(condition, seconds=20):
-    """Waits until condition() holds; the bound only ends a test that has failed anyway."""
+    """Waits until condition() holds. The time limit only ends tests that have already failed."""
     end = time.monotonic() + seconds
     while not condition():
         if time.monotonic() > end:
-            raise AssertionError("waited in vain")
+            raise AssertionError(f"condition not met within {seconds} s")
         time.sleep(0.01)
