--- a/tests/system/platform_standin.py
+++ b/tests/system/platform_standin.py
@@ -113,7 +113,7 @@
         self.copies = []  # (revision, items) after each change
         self.mute = False
         self.muted = []   # calls received while mute: wait_ms of a watch, 0 for a list
-        self.held_back = None      # reads of this key wait until the value changes
+        self.held_back = None      # reads of this key wait until another key is set
         self.held_back_calls = 0   # reads that had to wait for that
         threading.Thread(target=self.accept, daemon=True).start()
 
--- a/tests/unit/test_platform.cc
+++ b/tests/unit/test_platform.cc
@@ -64,9 +64,9 @@
 	EXPECT_EQ(comet_replica_position(replica), 5U);
 	/* an older change, the same change, a removal, a change from before the removal, and a
 	 * newer one */
-	comet_store_item news[] = {put("a", "0", 4), put("a", "1", 5), put("a", nullptr, 9),
+	comet_store_item changes[] = {put("a", "0", 4), put("a", "1", 5), put("a", nullptr, 9),
 		put("a", "8", 8), put("a", "10", 10)};
-	comet_replica_merge(replica, news, 5, false);
+	comet_replica_merge(replica, changes, 5, false);
 	std::vector<std::string> expected = {"put a=1", "removed a", "put a=10"};
 	EXPECT_EQ(recorder.lines, expected);
 	talloc_free(replica);
