--- a/tests/system/test_eras.py
+++ b/tests/system/test_eras.py
@@ -152,13 +152,13 @@
 def test_missing_or_invalid_epoch():
     """A missing or invalid epoch header has no effect and is logged once."""
     world = start_world()
-    before = world.gateway.log_text().count(b"event=directory_era_untold")
+    before = world.gateway.log_text().count(b"event=directory_era_invalid")
     for invalid in (None, "x", "-1", "7.5"):
         world.store.era = invalid
         rewrite_entry(world, 3)
         wait_for(lambda: metric(world.gateway, "comet_directory_revision") == world.store.revision)
         assert metric(world.gateway, "comet_directory_era") == 7
-    assert world.gateway.end().count("event=directory_era_untold") == before + 1
+    assert world.gateway.end().count("event=directory_era_invalid") == before + 1
 
 
 def test_lower_epoch_is_ignored():
