--- a/tests/unit/test_documents.cc
+++ b/tests/unit/test_documents.cc
@@ -1,6 +1,6 @@
 /*
  * test_documents.cc
- * the operator's document and servers' entries, as they are decoded
+ * parsing of the operator's routing document and of the entries of inference servers
  */
 #include <gtest/gtest.h>
 
@@ -28,7 +28,7 @@
 	"\"tenants\":[{\"name\":\"t\",\"api_keys\":[\"k\",\"l\"],\"priority\":1,"
 	"\"unit\":\"token_stream\",\"plain_tokens\":150,\"rate_per_s\":66.5,\"burst\":10}]}";
 
-TEST(Documents, RoutesAndTeamsAreTranslated)
+TEST(Documents, RoutesAndTeamsAreParsed)
 {
 	GError *error = nullptr;
 	comet_route_table *table = comet_platform_parse_routes(document, strlen(document), &error);
@@ -46,7 +46,7 @@
 	EXPECT_TRUE(split->open);
 	EXPECT_EQ(split->n_shares, 2U);
 	EXPECT_EQ(split->shares[0].weight, 90U);
-	/* a kind that nobody knows is not repeated */
+	/* Requests of an unknown type are not retried. */
 	EXPECT_EQ(comet_route_table_find(table, "a.example", "/u/")->kind, COMET_ROUTE_UNSAFE);
 	const comet_route_team *team = comet_route_table_team_by_key(table, "l");
 	EXPECT_STREQ(team->name, "t");
@@ -56,31 +56,33 @@
 	comet_route_table_unref(table);
 }
 
-TEST(Documents, WhatIsNoDocumentIsRefusedWithItsPlace)
+TEST(Documents, ErrorsOfInvalidDocumentsNameTheDocument)
 {
-	for (const char *bad : {"", "[]", "{", "{\"version\":1}", "{\"routes\":[]}", "\x00\xff"})
+	for (const char *invalid :
+		{"", "[]", "{", "{\"version\":1}", "{\"routes\":[]}", "\x00\xff"})
 	{
 		GError *error = nullptr;
-		EXPECT_EQ(comet_platform_parse_routes(bad, strlen(bad), &error), nullptr) << bad;
+		EXPECT_EQ(comet_platform_parse_routes(invalid, strlen(invalid), &error), nullptr)
+			<< invalid;
 		EXPECT_NE(strstr(error->message, "operator's document"), nullptr);
 		g_clear_error(&error);
 	}
 }
 
-/* Why an operator's document is refused; "" when it is taken. */
+/* Returns the error of parsing an operator's document, or "" if it is valid. */
 std::string
-document_refusal(const std::string &text)
+document_error(const std::string &text)
 {
 	GError *error = nullptr;
 	comet_route_table *table = comet_platform_parse_routes(text.data(), text.size(), &error);
-	std::string why = table != nullptr ? "" : error->message;
+	std::string message = table != nullptr ? "" : error->message;
 
 	comet_route_table_unref(table);
 	g_clear_error(&error);
-	return why;
+	return message;
 }
 
-TEST(Documents, AFaultInADocumentIsToldWithItsField)
+TEST(Documents, ErrorsOfDocumentsNameTheField)
 {
 	const std::string head = "operator's document: ";
 	const std::string route = "\"hostname\":\"h\",\"path_prefix\":\"/\"";
@@ -111,13 +113,13 @@
 		{rest("\"limits\":{\"max_body_bytes\":1e10}"),
 			"limits.max_body_bytes: must be a number from 0 to 4294967295, is 1e10"},
 		{rest("\"tenants\":[{\"name\":\"\"}]"), "tenants[0].name: must be a name, is \"\""},
-		/* what a key might be is not told */
+		/* Errors do not contain the values of keys. */
 		{rest("\"tenants\":[{\"name\":\"t\",\"api_keys\":[\"k\",7]}]"),
-			"tenants[0].api_keys: must be texts"},
+			"tenants[0].api_keys: must be non-empty strings"},
 		{rest("\"tenants\":[{\"name\":\"t\",\"api_keys\":[\"\"]}]"),
-			"tenants[0].api_keys: must be texts"},
+			"tenants[0].api_keys: must be non-empty strings"},
 		{rest("\"tenants\":[{\"name\":\"t\",\"api_keys\":[\"k\",\"l\\u0000m\"]}]"),
-			"tenants[0].api_keys: must be texts"},
+			"tenants[0].api_keys: must be non-empty strings"},
 		{rest("\"tenants\":[{\"name\":\"t\",\"api_keys\":\"secret\"}]"),
 			"tenants[0].api_keys: must be an array"},
 		{rest("\"tenants\":[{\"name\":\"t\",\"rate_per_s\":true}]"),
@@ -126,36 +128,36 @@
 	};
 
 	for (const auto &row : rows)
-		EXPECT_EQ(document_refusal(row.first), head + row.second);
-	EXPECT_EQ(document_refusal(rest("\"limits\":{}")), "");
-	EXPECT_EQ(
-		document_refusal(std::string(document) + "x").find(head + "not a JSON object"), 0U);
+		EXPECT_EQ(document_error(row.first), head + row.second);
+	EXPECT_EQ(document_error(rest("\"limits\":{}")), "");
+	EXPECT_EQ(document_error(std::string(document) + "x").find(head + "not a JSON object"), 0U);
 }
 
 void
-keep_record(void *ctx, const comet_instance_record *record)
+format_record(void *ctx, const comet_instance_record *instance)
 {
 	*static_cast<std::string *>(ctx) =
-		std::string(record->id) + " " + record->service + " " + record->address + " " +
-		std::to_string(record->slots) + (record->draining ? " draining" : "") +
-		(record->process_start_ms != 0 ? " " + std::to_string(record->process_start_ms)
-					       : "");
+		std::string(instance->id) + " " + instance->service + " " + instance->address +
+		" " + std::to_string(instance->slots) + (instance->draining ? " draining" : "") +
+		(instance->process_start_ms != 0 ? " " + std::to_string(instance->process_start_ms)
+						 : "");
 }
 
-/* Why a server's entry is refused; "" when it is taken, and then seen holds what was read. */
+/* Returns the error of parsing a server's entry, or "" if it is valid; then record has the fields
+ * read. */
 std::string
-refusal_of(const std::string &id, const std::string &entry, std::string *seen)
+entry_error(const std::string &id, const std::string &entry, std::string *record)
 {
 	GError *error = nullptr;
-	bool good = comet_platform_parse_server(
-		id.c_str(), entry.data(), entry.size(), keep_record, seen, &error);
-	std::string why = good ? "" : error->message;
+	bool valid = comet_platform_parse_server(
+		id.c_str(), entry.data(), entry.size(), format_record, record, &error);
+	std::string message = valid ? "" : error->message;
 
 	g_clear_error(&error);
-	return why;
+	return message;
 }
 
-/* An entry with one field replaced, or left out when value is "". */
+/* Returns a valid entry with one field replaced, or omitted if value is "". */
 std::string
 entry_with(const std::string &name, const std::string &value)
 {
@@ -174,25 +176,25 @@
 	return text + "}";
 }
 
-TEST(Documents, ServersAreTranslated)
+TEST(Documents, ServerEntriesAreParsed)
 {
-	std::string seen;
-	EXPECT_EQ(refusal_of("i-1", entry_with("slots", "7"), &seen), "");
-	EXPECT_EQ(seen, "i-1 x 10.0.0.1:80 7 draining");
-	EXPECT_EQ(refusal_of("i-1", entry_with("state", "\"ready\""), &seen), "");
-	EXPECT_EQ(seen, "i-1 x 10.0.0.1:80 7");
-	EXPECT_EQ(refusal_of("i-1", entry_with("warmup_left_ms", "1200.5"), &seen), "");
-	EXPECT_EQ(refusal_of("i-1", entry_with("born", "1764720000123"), &seen), "");
-	EXPECT_EQ(seen, "i-1 x 10.0.0.1:80 7 draining 1764720000123");
+	std::string record;
+	EXPECT_EQ(entry_error("i-1", entry_with("slots", "7"), &record), "");
+	EXPECT_EQ(record, "i-1 x 10.0.0.1:80 7 draining");
+	EXPECT_EQ(entry_error("i-1", entry_with("state", "\"ready\""), &record), "");
+	EXPECT_EQ(record, "i-1 x 10.0.0.1:80 7");
+	EXPECT_EQ(entry_error("i-1", entry_with("warmup_left_ms", "1200.5"), &record), "");
+	EXPECT_EQ(entry_error("i-1", entry_with("born", "1764720000123"), &record), "");
+	EXPECT_EQ(record, "i-1 x 10.0.0.1:80 7 draining 1764720000123");
 }
 
-TEST(Documents, AnEntryThatIsNotAsAServerWritesItIsRefusedWithItsField)
+TEST(Documents, ErrorsOfServerEntriesNameTheField)
 {
 	const struct
 	{
 		const char *field;
 		const char *value;
-		const char *why;
+		const char *message;
 	} rows[] = {
 		{"service", "", "service: is required"},
 		{"service", "\"\"", "service: must be a name, is \"\""},
@@ -237,38 +239,39 @@
 
 	for (const auto &row : rows)
 	{
-		std::string seen = "nothing";
-		EXPECT_EQ(refusal_of("i-1", entry_with(row.field, row.value), &seen), row.why);
-		EXPECT_EQ(seen, "nothing");
+		std::string record = "nothing";
+		EXPECT_EQ(
+			entry_error("i-1", entry_with(row.field, row.value), &record), row.message);
+		EXPECT_EQ(record, "nothing");
 	}
 }
 
-TEST(Documents, BytesThatAreNoEntryAreRefused)
+TEST(Documents, MalformedServerEntriesAreRejected)
 {
 	std::string deep = entry_with("new", std::string(40, '[') + std::string(40, ']'));
-	std::string good = entry_with("slots", "7");
-	std::string seen = "nothing";
+	std::string valid = entry_with("slots", "7");
+	std::string record = "nothing";
 
-	for (const std::string &bad :
+	for (const std::string &invalid :
 		{std::string(), std::string("null"), std::string("[]"), std::string("\0", 1),
-			std::string("\xff\xfe"), good.substr(0, good.size() - 1), good + "{}",
-			good + std::string("\0", 1), deep, entry_with("service", "\"\xc3\x28\""),
-			entry_with("service", "'x'"), "/* */" + good})
-		EXPECT_NE(
-			refusal_of("i-1", bad, &seen).find("not a JSON object"), std::string::npos)
-			<< bad;
+			std::string("\xff\xfe"), valid.substr(0, valid.size() - 1), valid + "{}",
+			valid + std::string("\0", 1), deep, entry_with("service", "\"\xc3\x28\""),
+			entry_with("service", "'x'"), "/* */" + valid})
+		EXPECT_NE(entry_error("i-1", invalid, &record).find("not a JSON object"),
+			std::string::npos)
+			<< invalid;
 	for (const std::string &id : {std::string(), std::string("a b"), std::string("a\r\nX: y"),
 		     std::string("a\"b"), std::string(201, 'a')})
-		EXPECT_EQ(refusal_of(id, good, &seen), "id: must be a name") << id;
-	EXPECT_EQ(seen, "nothing");
-	/* what was there is told, but not all of it */
-	EXPECT_LT(refusal_of(
-			  "i-1", entry_with("zone", "[\"" + std::string(90000, 'z') + "\"]"), &seen)
+		EXPECT_EQ(entry_error(id, valid, &record), "id: must be a name") << id;
+	EXPECT_EQ(record, "nothing");
+	/* Errors contain the invalid value, truncated. */
+	EXPECT_LT(entry_error("i-1", entry_with("zone", "[\"" + std::string(90000, 'z') + "\"]"),
+			  &record)
 			  .size(),
 		100U);
-	/* ids and names of any script, and ids that differ in case, are ids */
-	EXPECT_EQ(refusal_of("I-1", entry_with("zone", "\"z\xc3\xbcrich\""), &seen), "");
-	EXPECT_EQ(seen, "I-1 x 10.0.0.1:80 7 draining");
+	/* Ids and names may contain any UTF-8 letters, and the case of ids is preserved. */
+	EXPECT_EQ(entry_error("I-1", entry_with("zone", "\"z\xc3\xbcrich\""), &record), "");
+	EXPECT_EQ(record, "I-1 x 10.0.0.1:80 7 draining");
 }
 
 } // namespace
