--- a/tests/unit/test_catalog_parts.cc
+++ b/tests/unit/test_catalog_parts.cc
@@ -1,6 +1,7 @@
 /*
  * test_catalog_parts.cc
- * VMs that read a directory's documents apart from its entries, and tell one another of both
+ * exchange of snapshots and deltas between store replicas that read documents and entries
+ * separately
  */
 #include <gtest/gtest.h>
 
@@ -27,7 +28,7 @@
 	return strcmp(key, DOCUMENT) == 0;
 }
 
-/* What was written one after the other; a removal has no value. */
+/* One write to the store; a removal has no value. */
 struct change
 {
 	std::string key;
@@ -48,7 +49,7 @@
 	return item;
 }
 
-/* The store: its history, and its answers. */
+/* Store with its full history of writes. */
 struct store
 {
 	std::vector<change> history;
@@ -65,7 +66,7 @@
 		history.push_back({key, value, revision() + 1, removed});
 	}
 
-	/* The last change of a key up to a revision; nullptr: there is none. */
+	/* Returns the last change of a key up to a revision, or nullptr. */
 	const change *
 	last(const std::string &key, uint64_t upto) const
 	{
@@ -78,12 +79,12 @@
 	}
 };
 
-/* A VM: its catalog, and what that told. */
+/* VM with its replica and the state built from the replica's callbacks. */
 struct vm
 {
 	const store *source;
 	std::map<std::string, std::string> known;
-	std::map<std::string, uint64_t> revisions; /* of what is known, 0: gone */
+	std::map<std::string, uint64_t> revisions; /* of the newest value received, by key */
 	comet_replica *replica;
 
 	static const comet_replica_events events;
@@ -106,7 +107,8 @@
 	put(void *ctx, const comet_store_item *item)
 	{
 		auto *self = static_cast<vm *>(ctx);
-		EXPECT_GT(item->revision, self->revisions[item->key]) << "back to an older one";
+		EXPECT_GT(item->revision, self->revisions[item->key])
+			<< "an older revision replaced a newer one";
 		self->known[item->key] = std::string(item->value, item->length);
 		self->revisions[item->key] = item->revision;
 	}
@@ -118,7 +120,7 @@
 	}
 
 	void
-	take(const std::vector<change> &changes)
+	merge(const std::vector<change> &changes)
 	{
 		std::vector<comet_store_item> items;
 		for (const change &change : changes)
@@ -139,7 +141,7 @@
 				changes.push_back(pair.second);
 		}
 		comet_replica_list_begin(replica);
-		take(changes);
+		merge(changes);
 		comet_replica_list_end(replica, source->revision(), false);
 	}
 
@@ -149,13 +151,13 @@
 		return comet_replica_position(replica);
 	}
 
-	/* One watch of everything. */
+	/* Applies one watch response with entries and documents. */
 	void
 	watch()
 	{
 		std::vector<change> changes(
 			source->history.begin() + (long)position(), source->history.end());
-		take(changes);
+		merge(changes);
 		comet_replica_confirm_documents(replica, source->revision());
 	}
 
@@ -182,7 +184,7 @@
 	}
 
 	static void
-	take_answer(void *ctx, const comet_store_response *answer)
+	on_response(void *ctx, const comet_store_response *answer)
 	{
 		comet_replica *to = static_cast<comet_replica *>(ctx);
 		if (answer->is_delta || answer->is_partial)
@@ -192,21 +194,21 @@
 	}
 
 	void
-	take_text(GBytes *text)
+	receive(GBytes *text)
 	{
 		gsize length = 0;
 		GError *error = nullptr;
 		if (text == nullptr)
 			return;
 		const char *data = static_cast<const char *>(g_bytes_get_data(text, &length));
-		EXPECT_TRUE(comet_store_parse(data, length, take_answer, replica, &error));
+		EXPECT_TRUE(comet_store_parse(data, length, on_response, replica, &error));
 		g_bytes_unref(text);
 	}
 
 	void
 	follow_entries(const vm &reader)
 	{
-		take_text(comet_replica_entries_delta(
+		receive(comet_replica_entries_delta(
 			reader.replica, comet_replica_entries_position(replica), 0));
 	}
 
@@ -214,37 +216,39 @@
 	follow_documents(const vm &reader)
 	{
 		char *query = comet_replica_query(replica);
-		take_text(comet_replica_documents(reader.replica, query));
+		receive(comet_replica_documents(reader.replica, query));
 		g_free(query);
 	}
 
-	/* Is all that it claims to know as the store had it, or newer? */
+	/* Checks that every key is at least as new as the position up to which the replica claims
+	 * to be complete. */
 	void
-	check() const
+	check_position() const
 	{
 		for (const change &change : source->history)
 		{
 			bool document = change.key == DOCUMENT;
 			uint64_t claimed =
 				document ? position() : comet_replica_entries_position(replica);
-			const struct change *owed = source->last(change.key, claimed);
-			if (owed == nullptr)
+			const struct change *expected = source->last(change.key, claimed);
+			if (expected == nullptr)
 				continue;
 			auto found = known.find(change.key);
-			if (owed->removed)
+			if (expected->removed)
 			{
 				const struct change *now =
 					source->last(change.key, source->revision());
-				EXPECT_TRUE(found == known.end() || now->revision > owed->revision)
+				EXPECT_TRUE(
+					found == known.end() || now->revision > expected->revision)
 					<< change.key;
 				continue;
 			}
 			EXPECT_TRUE(found != known.end() ||
 				    source->last(change.key, source->revision())->revision >
-					    owed->revision)
+					    expected->revision)
 				<< change.key;
 			EXPECT_GE(revisions.count(change.key) ? revisions.at(change.key) : 0,
-				owed->revision)
+				expected->revision)
 				<< change.key;
 		}
 	}
@@ -252,7 +256,7 @@
 
 const comet_replica_events vm::events = {vm::put, vm::removed, nullptr, is_document};
 
-TEST(CatalogParts, EntriesGoOnWhileADocumentIsMissing)
+TEST(ReplicaExchange, EntriesAdvanceWhileADocumentIsMissing)
 {
 	store store;
 	store.write("servers/a", "1");
@@ -274,7 +278,7 @@
 	EXPECT_EQ(reader.position(), 4U);
 }
 
-TEST(CatalogParts, AFollowerIsToldOfADocumentAndGetsItsChanges)
+TEST(ReplicaExchange, FollowerRequestsAReportedDocumentAsDelta)
 {
 	store store;
 	store.write("servers/a", "1");
@@ -299,17 +303,17 @@
 	GBytes *change = comet_replica_documents(reader.replica, query);
 	EXPECT_LT(g_bytes_get_size(change), 1000U);
 	g_free(query);
-	follower.take_text(change);
+	follower.receive(change);
 	EXPECT_EQ(follower.known[DOCUMENT], more);
 	EXPECT_EQ(follower.position(), 4U);
 	EXPECT_EQ(comet_replica_missing_document(follower.replica), 0U);
 
-	/* whose version is not known here gets the whole document */
+	/* A peer with an unknown version gets the full document. */
 	vm newcomer(&store);
 	char nothing[] = "after=1&held=00000000000000000000000000000000";
 	store.history.resize(1);
 	newcomer.list();
-	newcomer.take_text(comet_replica_documents(reader.replica, nothing));
+	newcomer.receive(comet_replica_documents(reader.replica, nothing));
 	EXPECT_EQ(newcomer.known[DOCUMENT], more);
 	for (const char *bad : {"", "after=", "held=1", "before=1", "after=x"})
 	{
@@ -319,7 +323,7 @@
 	}
 }
 
-TEST(CatalogParts, AFollowerThatIsAskedForAgainLearnsOfAnOlderDocument)
+TEST(ReplicaExchange, FollowerLearnsOfADocumentOlderThanItsEntries)
 {
 	store store;
 	store.write(DOCUMENT, "one");
@@ -330,7 +334,7 @@
 	follower.list();
 	store.write(DOCUMENT, "two");
 	store.write("servers/a", "2");
-	reader.watch_entries(); /* the document is still on its way */
+	reader.watch_entries(); /* the document has not been read yet */
 	follower.follow_entries(reader);
 	EXPECT_EQ(follower.known["servers/a"], "2");
 	EXPECT_EQ(comet_replica_missing_document(follower.replica), 0U);
@@ -343,7 +347,7 @@
 	EXPECT_EQ(follower.position(), reader.position());
 }
 
-TEST(CatalogParts, ADocumentReplacedMeanwhileIsNotPatched)
+TEST(ReplicaExchange, DeltaWithAReplacedBaseIsNotApplied)
 {
 	store store;
 	store.write(DOCUMENT, "one");
@@ -357,15 +361,15 @@
 	char *query = comet_replica_query(follower.replica);
 	GBytes *change = comet_replica_documents(reader.replica, query);
 	g_free(query);
-	follower.read_document(); /* its own read was faster */
+	follower.read_document(); /* the follower's read of the store completes first */
 	store.write(DOCUMENT, "three");
 	follower.read_document();
-	follower.take_text(change);
+	follower.receive(change);
 	EXPECT_EQ(follower.known[DOCUMENT], "three");
-	follower.check();
+	follower.check_position();
 }
 
-TEST(CatalogParts, OnlyTheNewestOfSeveralVersionsIsTaken)
+TEST(ReplicaExchange, OnlyTheNewestOfSeveralVersionsIsApplied)
 {
 	store store;
 	store.write(DOCUMENT, "one");
@@ -373,19 +377,19 @@
 	reader.list();
 	for (const char *text : {"two", "three", "four"})
 		store.write(DOCUMENT, text);
-	int told = 0;
+	int applied = 0;
 	reader.revisions.clear();
 	reader.watch();
-	told = (int)reader.revisions.size();
-	EXPECT_EQ(told, 1);
+	applied = (int)reader.revisions.size();
+	EXPECT_EQ(applied, 1);
 	EXPECT_EQ(reader.known[DOCUMENT], "four");
 	EXPECT_EQ(reader.position(), 4U);
 }
 
-/* A VM that had just listed the store read it for its zone, and told a follower, whose list was
- * older, what had changed since: not that an endpoint had gone before its own list, which the
- * follower went on using. */
-TEST(CatalogParts, WhoHasJustListedTellsNoChangesFromBefore)
+/* Guards against a removal that a follower never receives. A list has no tombstones, so a reader
+ * that has just listed the store does not know of earlier removals. Its delta to a follower with an
+ * older list omitted them, and the follower continued to use a removed endpoint. */
+TEST(ReplicaExchange, DeltaOmitsNoRemovalsBeforeTheReadersList)
 {
 	store store;
 	store.write("servers/a", "1");
@@ -399,14 +403,14 @@
 	store.write("servers/b", "3");
 	reader.watch();
 	follower.follow_entries(reader);
-	follower.check();
-	follower.take_text(comet_replica_snapshot(reader.replica));
+	follower.check_position();
+	follower.receive(comet_replica_snapshot(reader.replica));
 	EXPECT_EQ(follower.known, reader.known);
 }
 
-/* A VM was told by another that an endpoint had gone which it had never known, and did not pass
- * that on. */
-TEST(CatalogParts, ARemovalOfWhatWasNotKnownIsPassedOn)
+/* Guards against a lost removal: a VM that received the removal of an endpoint unknown to it did
+ * not forward the removal to its peers. */
+TEST(ReplicaExchange, RemovalOfAnUnknownKeyIsForwarded)
 {
 	store store;
 	store.write("servers/a", "1");
@@ -421,18 +425,19 @@
 	first.watch();
 	store.write("servers/b", "", true);
 	first.watch();
-	second.follow_entries(first); /* it never knew b */
+	second.follow_entries(first); /* b is unknown to the second VM */
 	third.follow_entries(second);
 	EXPECT_EQ(third.known.count("servers/b"), 0U);
-	third.check();
+	third.check_position();
 }
 
-/* VMs read, follow and copy in any order, and are asked for anything at any moment. */
-TEST(CatalogParts, NothingIsClaimedThatIsNotKnown)
+/* Random sequences of writes, reads of the store, deltas and snapshots between three VMs. No
+ * replica may claim to be complete up to a position whose changes it lacks. */
+TEST(ReplicaExchange, PositionNeverExceedsTheAppliedChanges)
 {
 	for (unsigned seed = 1; seed <= 300; seed++)
 	{
-		std::mt19937 draw(seed);
+		std::mt19937 rng(seed);
 		store store;
 		std::vector<std::unique_ptr<vm>> vms;
 		store.write(DOCUMENT, "0");
@@ -444,10 +449,10 @@
 		}
 		for (int step = 0; step < 60; step++)
 		{
-			vm &one = *vms[draw() % vms.size()];
-			const vm &other = *vms[draw() % vms.size()];
-			std::string key = std::string("servers/") + (char)('a' + draw() % 4);
-			switch (draw() % 10)
+			vm &one = *vms[rng() % vms.size()];
+			const vm &other = *vms[rng() % vms.size()];
+			std::string key = std::string("servers/") + (char)('a' + rng() % 4);
+			switch (rng() % 10)
 			{
 			case 0:
 				store.write(DOCUMENT, std::to_string(step));
@@ -474,27 +479,26 @@
 				one.follow_documents(other);
 				break;
 			case 8:
-				one.take_text(
-					comet_replica_delta(other.replica, one.position(), 0));
+				one.receive(comet_replica_delta(other.replica, one.position(), 0));
 				break;
 			default:
-				one.take_text(comet_replica_snapshot(other.replica));
+				one.receive(comet_replica_snapshot(other.replica));
 				break;
 			}
-			one.check();
+			one.check_position();
 		}
 		for (auto &one : vms)
 		{
 			one->watch();
-			one->check();
+			one->check_position();
 			EXPECT_EQ(one->known, vms[0]->known) << seed;
 		}
 	}
 }
 
-/* Pages of a list are read one after the other. A removal between two of them was claimed to be
- * known, since a later page named a newer change; readers were not asked for it any more. */
-TEST(CatalogParts, AListOfSeveralPagesClaimsNoMoreThanItsFirst)
+/* Guards against a removal that is lost between two pages of a list. The replica took the newest
+ * revision of a later page as its position, so that it no longer requested the removal. */
+TEST(ReplicaExchange, PositionOfAPagedListIsThatOfItsFirstPage)
 {
 	store store;
 	store.write("servers/a", "1");
@@ -509,7 +513,7 @@
 	page = {item_of(store.history[3])};
 	comet_replica_merge_page(one.replica, page.data(), page.size());
 	comet_replica_list_end(one.replica, listed, false);
-	one.check();
+	one.check_position();
 	EXPECT_EQ(one.position(), 2U);
 }
 
