--- a/libcometspindle/adapters/platform/platform.h
+++ b/libcometspindle/adapters/platform/platform.h
@@ -1,9 +1,9 @@
 /*
  * platform.h
- * reads the platform's published state: the bundle and the list of VMs
+ * read-only client of the platform, which publishes the configuration bundle and the list of VMs
  *
- * Behind a vtable, so that the platform's real wire form can replace ours.
- * Nothing is ever written there.
+ * Adapters implement the vtable, so that the wire protocol can be replaced. No adapter writes to
+ * the platform.
  */
 #ifndef COMETSPINDLE_ADAPTERS_PLATFORM_H
 #define COMETSPINDLE_ADAPTERS_PLATFORM_H
@@ -13,18 +13,18 @@
 #include <libcometspindle/membership.h>
 #include <stdbool.h>
 
-/** What is read goes here. */
+/** Callbacks that receive what was read and control the reads. */
 struct comet_platform_events
 {
-	/** A signed bundle was read, perhaps an old one. */
+	/** Receives a signed bundle, which may be older than the current one. */
 	void (*bundle)(void *ctx, GBytes *signed_document);
-	/** The list of VMs was read. */
+	/** Receives the list of VMs. */
 	void (*vms)(void *ctx, const struct comet_vm *vms, size_t count);
-	/** @return the version already in force; 0: none. */
+	/** @return the version of the current bundle, or 0 if there is none */
 	uint64_t (*version)(void *ctx);
-	/** @return whether this VM should watch the bundle just now. */
+	/** @return whether this VM is currently an elected reader of the bundle */
 	bool (*is_reader)(void *ctx);
-	/** @return how many VMs are listed, to pace reads of the list. */
+	/** @return the number of listed VMs, which sets the interval between reads of the list */
 	size_t (*fleet_size)(void *ctx);
 };
 
@@ -32,11 +32,11 @@
 
 struct comet_platform_ops
 {
-	/** Starts reading; goes on until the platform is freed. */
+	/** Starts to read; continues until the platform is freed. */
 	void (*start)(struct comet_platform *platform);
 };
 
-/** Vtable first; adapters extend it. */
+/** Base of all adapters, which embed it as their first member. */
 struct comet_platform
 {
 	const struct comet_platform_ops *ops;
@@ -44,15 +44,16 @@
 	void *ctx;
 };
 
-/** The HTTP adapter (platform_http.c). Free with talloc_free. */
+/** Creates the HTTP adapter (platform_http.c). Free with talloc_free(). */
 struct comet_platform *
 comet_platform_http_create(void *parent, struct tevent_context *ev, struct comet_curl_loop *loop,
 	const char *url, const struct comet_platform_events *events, void *ctx);
 
-/** Parses the list of VMs; calls take with it. Used by the adapter and by tests. */
+/** Parses the list of VMs and passes it to handler; the list is valid only during that call. Used
+ * by the adapter and by tests. */
 gboolean
 comet_platform_parse_vms(const char *text, size_t length,
-	void (*take)(void *ctx, const struct comet_vm *vms, size_t count), void *ctx,
+	void (*handler)(void *ctx, const struct comet_vm *vms, size_t count), void *ctx,
 	GError **error) G_GNUC_WARN_UNUSED_RESULT;
 
 #endif
--- a/libcometspindle/adapters/platform/platform_http.c
+++ b/libcometspindle/adapters/platform/platform_http.c
@@ -1,14 +1,15 @@
 /*
  * platform_http.c
- * our assumption of the platform's wire form: HTTP, read and watched
+ * HTTP adapter of the platform, which polls the list of VMs and long-polls the bundle
  *
- *   GET URL/v1/bundle?after=V   the signed bundle when newer than V, else waits
- *                               up to 10 s and answers 204
+ *   GET URL/v1/bundle?after=V   the signed bundle if newer than V; otherwise the
+ *                               platform waits up to 10 s and returns 204
  *   GET URL/v1/vms              {"vms":[{"name","zone","peer","caller","leaving"}]}
  *
- * A waiting watch counts as one call. Only a few VMs per zone watch; the
- * others get the bundle from them. The list is read by all, ever less often
- * as the fleet grows, so that all readers together stay near 100 calls a second.
+ * The protocol is an assumption about the platform, not its documented interface. A pending watch
+ * counts as one call. Only the elected readers of each zone watch the bundle; the other VMs receive
+ * it from them. Every VM reads the list, at an interval that grows with the fleet, so that the rate
+ * of all VMs together stays near 100 calls per second.
  */
 #include <libcometspindle/adapters/platform/platform.h>
 
@@ -21,20 +22,21 @@
 #include <talloc.h>
 
 #define CONNECT_TIMEOUT_MS 2000L
-/* An answer may take as long as its link makes it, if it brings so much a second on average of the
- * time after which it is given up; a watch may bring nothing for ten seconds first. */
-#define PROGRESS_BYTES_PER_S 16384L
-#define WATCH_STALLED_S 15L
-#define LIST_STALLED_S 2L
-#define LIST_PERIOD_US 1000000ULL
-/* All VMs together read the list about this often a second, when there are many. */
+/* A response may handler any time as long as its rate, averaged over the stall timeout, stays above
+ * this minimum. The stall timeout of a watch is longer than the 10 s for which the platform may
+ * hold the request. */
+#define MIN_BYTES_PER_S 16384L
+#define WATCH_STALL_TIMEOUT_S 15L
+#define LIST_STALL_TIMEOUT_S 2L
+#define LIST_INTERVAL_MIN_US 1000000ULL
+/* Rate at which all VMs of a large fleet together read the list. */
 #define LIST_READS_PER_S 100
-#define WATCH_PAUSE_US 100000ULL
-/* After a failure: doubled each time, up to the maximum, plus a part drawn by name. */
-#define FAILURE_PAUSE_US 500000ULL
-#define FAILURE_PAUSE_MAX_US 4000000ULL
-/* A VM that is no reader looks again whether it became one. */
-#define IDLE_US 500000ULL
+#define WATCH_INTERVAL_US 100000ULL
+/* Delay of the first retry, doubled for each further one up to the maximum, plus jitter. */
+#define RETRY_DELAY_US 500000ULL
+#define RETRY_DELAY_MAX_US 4000000ULL
+/* Interval at which a VM that is not an elected reader checks whether it has become one. */
+#define READER_CHECK_INTERVAL_US 500000ULL
 #define VMS_MAX 10000
 
 struct fetch
@@ -44,8 +46,8 @@
 	GByteArray *body;
 	struct tevent_timer *timer;
 	uint32_t failures;
-	void (*begin)(struct fetch *fetch);
-	void (*take)(struct fetch *fetch, long status);
+	void (*request)(struct fetch *fetch);
+	void (*on_response)(struct fetch *fetch, long status);
 };
 
 struct platform_http
@@ -70,7 +72,7 @@
 }
 
 static void
-on_due(struct tevent_context *ev, struct tevent_timer *timer, struct timeval now, void *data)
+on_timer(struct tevent_context *ev, struct tevent_timer *timer, struct timeval now, void *data)
 {
 	struct fetch *fetch = data;
 
@@ -78,26 +80,26 @@
 	(void)timer;
 	(void)now;
 	fetch->timer = NULL;
-	fetch->begin(fetch);
+	fetch->request(fetch);
 }
 
 static void
-begin_after(struct fetch *fetch, uint64_t delay_us)
+schedule_fetch(struct fetch *fetch, uint64_t delay_us)
 {
 	TALLOC_FREE(fetch->timer);
 	fetch->timer = tevent_add_timer(
-		fetch->platform->ev, fetch->platform, comet_clock_after(delay_us), on_due, fetch);
+		fetch->platform->ev, fetch->platform, comet_clock_after(delay_us), on_timer, fetch);
 }
 
 static uint64_t
-failure_pause_us(const struct fetch *fetch)
+retry_delay_us(const struct fetch *fetch)
 {
-	uint64_t pause = FAILURE_PAUSE_US;
+	uint64_t delay = RETRY_DELAY_US;
 
-	for (uint32_t i = 1; i < fetch->failures && pause < FAILURE_PAUSE_MAX_US; i++)
-		pause *= 2;
-	/* readers that failed together come back apart */
-	return pause + comet_clock_now().mono_us % pause;
+	for (uint32_t i = 1; i < fetch->failures && delay < RETRY_DELAY_MAX_US; i++)
+		delay *= 2;
+	/* The jitter spreads the retries of VMs whose requests failed at the same time. */
+	return delay + comet_clock_now().mono_us % delay;
 }
 
 static void
@@ -107,47 +109,48 @@
 	long status = 0;
 
 	curl_easy_getinfo(easy, CURLINFO_RESPONSE_CODE, &status);
-	bool good = result == CURLE_OK && (status == 200 || status == 204);
-	if (!good && fetch->failures == 0)
-		comet_log(COMET_LOG_WARNING, "event=platform_failed status=%ld error=\"%s\"",
-			status, curl_easy_strerror(result));
-	fetch->failures = good ? 0 : fetch->failures + 1;
-	if (good)
-		fetch->take(fetch, status);
+	bool success = result == CURLE_OK && (status == 200 || status == 204);
+	if (!success && fetch->failures == 0)
+		comet_log(COMET_LOG_WARNING,
+			"event=platform_request_failed status=%ld error=\"%s\"", status,
+			curl_easy_strerror(result));
+	fetch->failures = success ? 0 : fetch->failures + 1;
+	if (success)
+		fetch->on_response(fetch, status);
 	else
-		begin_after(fetch, failure_pause_us(fetch));
+		schedule_fetch(fetch, retry_delay_us(fetch));
 }
 
 static void
-start_fetch(struct fetch *fetch, const char *path, long stalled_s)
+start_fetch(struct fetch *fetch, const char *path, long stall_timeout_s)
 {
 	char *url = talloc_asprintf(fetch->platform, "%s%s", fetch->platform->url, path);
 
 	g_byte_array_set_size(fetch->body, 0);
 	curl_easy_setopt(fetch->easy, CURLOPT_URL, url);
-	curl_easy_setopt(fetch->easy, CURLOPT_LOW_SPEED_TIME, stalled_s);
+	curl_easy_setopt(fetch->easy, CURLOPT_LOW_SPEED_TIME, stall_timeout_s);
 	talloc_free(url);
 	comet_curl_loop_add(fetch->platform->loop, fetch->easy, on_done, fetch);
 }
 
 static void
-begin_bundle(struct fetch *fetch)
+request_bundle(struct fetch *fetch)
 {
 	struct comet_platform *base = &fetch->platform->base;
 	char path[64];
 
 	if (!base->events->is_reader(base->ctx))
 	{
-		begin_after(fetch, IDLE_US);
+		schedule_fetch(fetch, READER_CHECK_INTERVAL_US);
 		return;
 	}
 	g_snprintf(path, sizeof path, "/v1/bundle?after=%" G_GUINT64_FORMAT,
 		base->events->version(base->ctx));
-	start_fetch(fetch, path, WATCH_STALLED_S);
+	start_fetch(fetch, path, WATCH_STALL_TIMEOUT_S);
 }
 
 static void
-take_bundle(struct fetch *fetch, long status)
+on_bundle_response(struct fetch *fetch, long status)
 {
 	struct comet_platform *base = &fetch->platform->base;
 
@@ -157,17 +160,17 @@
 		base->events->bundle(base->ctx, bytes);
 		g_bytes_unref(bytes);
 	}
-	begin_after(fetch, WATCH_PAUSE_US);
+	schedule_fetch(fetch, WATCH_INTERVAL_US);
 }
 
 static void
-begin_list(struct fetch *fetch)
+request_list(struct fetch *fetch)
 {
-	start_fetch(fetch, "/v1/vms", LIST_STALLED_S);
+	start_fetch(fetch, "/v1/vms", LIST_STALL_TIMEOUT_S);
 }
 
 static void
-take_list(struct fetch *fetch, long status)
+on_list_response(struct fetch *fetch, long status)
 {
 	struct comet_platform *base = &fetch->platform->base;
 	GError *error = NULL;
@@ -178,19 +181,21 @@
 		comet_log(COMET_LOG_WARNING, "event=vm_list_refused reason=\"%s\"", error->message);
 		g_clear_error(&error);
 	}
-	uint64_t paced_us = base->events->fleet_size(base->ctx) * (1000000ULL / LIST_READS_PER_S);
-	begin_after(fetch, paced_us > LIST_PERIOD_US ? paced_us : LIST_PERIOD_US);
+	uint64_t interval_us =
+		base->events->fleet_size(base->ctx) * (1000000ULL / LIST_READS_PER_S);
+	schedule_fetch(
+		fetch, interval_us > LIST_INTERVAL_MIN_US ? interval_us : LIST_INTERVAL_MIN_US);
 }
 
 static void
-read_vm(struct comet_json_validator *check, struct json_object *value, size_t index,
+read_vm(struct comet_json_validator *validator, struct json_object *value, size_t index,
 	struct comet_vm *vm)
 {
 	char path[32];
 
 	g_snprintf(path, sizeof path, "vms[%zu]", index);
 	struct comet_json_validator_object *object =
-		comet_json_validator_object_begin(check, value, path);
+		comet_json_validator_object_begin(validator, value, path);
 	vm->name = comet_json_validator_string(object, "name", NULL);
 	vm->zone = comet_json_validator_string(object, "zone", NULL);
 	vm->peer = comet_json_validator_string(object, "peer", NULL);
@@ -202,34 +207,35 @@
 
 gboolean
 comet_platform_parse_vms(const char *text, size_t length,
-	void (*take)(void *ctx, const struct comet_vm *vms, size_t count), void *ctx,
+	void (*handler)(void *ctx, const struct comet_vm *vms, size_t count), void *ctx,
 	GError **error)
 {
 	struct json_object *root = comet_json_validator_parse(text, length, error);
 
 	if (root == NULL)
 		return FALSE;
-	struct comet_json_validator *check = comet_json_validator_create();
+	struct comet_json_validator *validator = comet_json_validator_create();
 	struct comet_json_validator_object *object =
-		comet_json_validator_object_begin(check, root, "");
+		comet_json_validator_object_begin(validator, root, "");
 	struct json_object *array = comet_json_validator_array(object, "vms", true);
 	size_t count = array != NULL ? json_object_array_length(array) : 0;
 	if (count > VMS_MAX)
 	{
-		comet_json_validator_fault(check, "vms", "must have at most %d entries", VMS_MAX);
+		comet_json_validator_fault(
+			validator, "vms", "must have at most %d entries", VMS_MAX);
 		count = 0;
 	}
 	struct comet_vm *vms = g_new0(struct comet_vm, count + 1);
 	for (size_t i = 0; i < count; i++)
-		read_vm(check, json_object_array_get_idx(array, i), i, &vms[i]);
+		read_vm(validator, json_object_array_get_idx(array, i), i, &vms[i]);
 	comet_json_validator_object_end(object);
-	gboolean good = comet_json_validator_finish(check, error);
-	if (good)
-		take(ctx, vms, count);
+	gboolean success = comet_json_validator_finish(validator, error);
+	if (success)
+		handler(ctx, vms, count);
 	g_free(vms);
-	comet_json_validator_destroy(check);
+	comet_json_validator_destroy(validator);
 	json_object_put(root);
-	return good;
+	return success;
 }
 
 static void
@@ -237,26 +243,26 @@
 {
 	struct platform_http *platform = (struct platform_http *)base;
 
-	begin_list(&platform->list);
-	begin_bundle(&platform->bundle);
+	request_list(&platform->list);
+	request_bundle(&platform->bundle);
 }
 
 static const struct comet_platform_ops http_ops = {http_start};
 
 static void
-fetch_init(struct fetch *fetch, struct platform_http *platform, void (*begin)(struct fetch *fetch),
-	void (*take)(struct fetch *fetch, long status))
+fetch_init(struct fetch *fetch, struct platform_http *platform,
+	void (*request)(struct fetch *fetch), void (*on_response)(struct fetch *fetch, long status))
 {
 	fetch->platform = platform;
-	fetch->begin = begin;
-	fetch->take = take;
+	fetch->request = request;
+	fetch->on_response = on_response;
 	fetch->body = g_byte_array_new();
 	fetch->easy = curl_easy_init();
 	curl_easy_setopt(fetch->easy, CURLOPT_WRITEFUNCTION, on_body);
 	curl_easy_setopt(fetch->easy, CURLOPT_WRITEDATA, fetch);
 	curl_easy_setopt(fetch->easy, CURLOPT_NOSIGNAL, 1L);
 	curl_easy_setopt(fetch->easy, CURLOPT_CONNECTTIMEOUT_MS, CONNECT_TIMEOUT_MS);
-	curl_easy_setopt(fetch->easy, CURLOPT_LOW_SPEED_LIMIT, PROGRESS_BYTES_PER_S);
+	curl_easy_setopt(fetch->easy, CURLOPT_LOW_SPEED_LIMIT, MIN_BYTES_PER_S);
 	curl_easy_setopt(fetch->easy, CURLOPT_PROXY, "");
 }
 
@@ -282,8 +288,8 @@
 	platform->ev = ev;
 	platform->loop = loop;
 	platform->url = talloc_strdup(platform, url);
-	fetch_init(&platform->bundle, platform, begin_bundle, take_bundle);
-	fetch_init(&platform->list, platform, begin_list, take_list);
+	fetch_init(&platform->bundle, platform, request_bundle, on_bundle_response);
+	fetch_init(&platform->list, platform, request_list, on_list_response);
 	talloc_set_destructor(platform, platform_destructor);
 	return &platform->base;
 }
--- a/tests/unit/test_platform_http.cc
+++ b/tests/unit/test_platform_http.cc
@@ -1,6 +1,6 @@
 /*
  * test_platform_http.cc
- * what is read of the platform over a link on which an answer takes seconds
+ * HTTP adapter of the platform on a link on which a response takes several seconds
  */
 #include <gtest/gtest.h>
 
@@ -20,12 +20,12 @@
 namespace
 {
 
-/* A test that hangs ends after so long. */
-const uint64_t GUARD_US = 20000000;
+/* Timeout of the test. */
+const uint64_t TEST_TIMEOUT_US = 20000000;
 
 const size_t VMS = 1000;
 const int PIECES = 30;
-const int PAUSE_MS = 100;
+const int PIECE_INTERVAL_MS = 100;
 
 std::string
 list_of_vms()
@@ -43,9 +43,9 @@
 	return text + "]}";
 }
 
-/* Writes one answer in pieces, some of them each second. */
+/* Sends one response in PIECES parts, PIECE_INTERVAL_MS apart. */
 void
-serve_slowly(int listener)
+serve_in_pieces(int listener)
 {
 	std::string body = list_of_vms();
 	std::string head =
@@ -59,7 +59,7 @@
 	size_t piece = body.size() / PIECES + 1;
 	for (size_t at = 0; at < body.size(); at += piece)
 	{
-		std::this_thread::sleep_for(std::chrono::milliseconds(PAUSE_MS));
+		std::this_thread::sleep_for(std::chrono::milliseconds(PIECE_INTERVAL_MS));
 		send(fd, body.data() + at, std::min(piece, body.size() - at), MSG_NOSIGNAL);
 	}
 	close(fd);
@@ -102,9 +102,9 @@
 const comet_platform_events events = {
 	reader::on_bundle, reader::on_vms, reader::version, reader::is_reader, reader::fleet_size};
 
-/* A list had two seconds, however steadily it came: on a slower link a VM never learned who else is
- * there. */
-TEST(PlatformHttp, AnAnswerThatProgressesIsReadToItsEnd)
+/* Guards against a total timeout of 2 s for the list of VMs. On a slow link the list takes longer
+ * even though data arrives steadily, and the VM never learned of its peers. */
+TEST(PlatformHttp, SlowButSteadyResponseIsReadCompletely)
 {
 	sockaddr_in address = {};
 	socklen_t length = sizeof address;
@@ -116,7 +116,7 @@
 	ASSERT_EQ(bind(listener, reinterpret_cast<sockaddr *>(&address), length), 0);
 	ASSERT_EQ(listen(listener, 16), 0);
 	getsockname(listener, reinterpret_cast<sockaddr *>(&address), &length);
-	std::thread server(serve_slowly, listener);
+	std::thread server(serve_in_pieces, listener);
 	tevent_context *ev = tevent_context_init(nullptr);
 	comet_curl_loop *loop = comet_curl_loop_create(ev, ev);
 	std::string url = "http://127.0.0.1:" + std::to_string(ntohs(address.sin_port));
@@ -124,7 +124,7 @@
 		comet_platform_http_create(ev, ev, loop, url.c_str(), &events, &reader);
 	platform->ops->start(platform);
 	uint64_t begin_us = comet_clock_now().mono_us;
-	while (reader.vms == 0 && comet_clock_now().mono_us - begin_us < GUARD_US)
+	while (reader.vms == 0 && comet_clock_now().mono_us - begin_us < TEST_TIMEOUT_US)
 		tevent_loop_once(ev);
 	EXPECT_EQ(reader.vms, VMS);
 	talloc_free(ev);
