--- a/libcometspindle/adapters/gateway/gateway_crashes.c
+++ b/libcometspindle/adapters/gateway/gateway_crashes.c
@@ -39,7 +39,7 @@
 		[COMET_CRASH_TRACKER_COUNTED] = "counted",
 		[COMET_CRASH_TRACKER_QUARANTINED] = "quarantined",
 		[COMET_CRASH_TRACKER_RELEASED] = "released",
-		[COMET_CRASH_TRACKER_CLEARED] = "cleared",
+		[COMET_CRASH_TRACKER_CLEARED] = "excused",
 	};
 
 	return names[event];
--- a/libcometspindle/adapters/gateway/proxy_request.c
+++ b/libcometspindle/adapters/gateway/proxy_request.c
@@ -159,7 +159,8 @@
 comet_proxy_request_refuse_quarantined(struct comet_proxy_request *relay)
 {
 	comet_log(COMET_LOG_INFO,
-		"event=request_quarantined request=%s fingerprint=%016" G_GINT64_MODIFIER "x",
+		"event=quarantined_request_refused request=%s fingerprint=%016" G_GINT64_MODIFIER
+		"x",
 		relay->id, relay->fingerprint.digest);
 	relay->gateway->counts.refused_crashing++;
 	if (!relay->may_have_run)
