--- a/libcometspindle/adapters/gateway/gateway.c
+++ b/libcometspindle/adapters/gateway/gateway.c
@@ -87,7 +87,7 @@
 		comet_grants_receive(gateway->grants, &datagram);
 	else if (datagram.which_body == comet_Datagram_view_tag &&
 		 !comet_gossip_receive(gateway->gossip, &datagram.body.view, now_us))
-		comet_log(COMET_LOG_WARNING, "event=view_malformed bytes=%zu", length);
+		comet_log(COMET_LOG_WARNING, "event=gossip_message_malformed bytes=%zu", length);
 }
 
 static void
--- a/libcometspindle/adapters/gateway/gateway_grants.c
+++ b/libcometspindle/adapters/gateway/gateway_grants.c
@@ -170,7 +170,7 @@
 	uint64_t now_us = comet_timers_now_us();
 
 	gateway->counts.unanswered++;
-	comet_log(COMET_LOG_NOTICE, "event=owner_unresponsive request=%s vm=%s", relay->id,
+	comet_log(COMET_LOG_NOTICE, "event=owner_unresponsive request=%s owner=%s", relay->id,
 		comet_datagram_socket_format_address(keeper, text));
 	comet_placement_unanswered(gateway->placement, item, now_us);
 	comet_placement_run(gateway->placement, now_us);
--- a/libcometspindle/adapters/gateway/gateway_quota.c
+++ b/libcometspindle/adapters/gateway/gateway_quota.c
@@ -189,8 +189,8 @@
 	char text[COMET_IPV4_TEXT_BYTES];
 
 	gateway->counts.charges_undecided++;
-	comet_log(COMET_LOG_INFO, "event=quota_request_failed request=%s team=%s vm=%s", relay->id,
-		relay->team->name, comet_datagram_socket_format_address(keeper, text));
+	comet_log(COMET_LOG_INFO, "event=quota_request_failed request=%s team=%s owner=%s",
+		relay->id, relay->team->name, comet_datagram_socket_format_address(keeper, text));
 	charge_quota(relay);
 }
 
