--- a/libcometspindle/adapters/gateway/gateway_crashes.c
+++ b/libcometspindle/adapters/gateway/gateway_crashes.c
@@ -157,7 +157,7 @@
 	check->timer = comet_timers_add(gateway->timers, check, 0, on_check_due, check);
 }
 
-/* Returns whether the answer's head delimits its body; 204 and 304 have none. */
+/* Returns whether the response's head delimits its body; 204 and 304 have none. */
 static bool
 is_framed(const struct comet_http_head *head)
 {
@@ -166,7 +166,7 @@
 	       comet_http_head_get(head, "Transfer-Encoding") != NULL;
 }
 
-/* Returns whether the answer proves that the endpoint completed the request. An answer that is
+/* Returns whether the response proves that the endpoint completed the request. A response that is
  * delimited by the end of its connection may have ended because the process crashed. */
 static bool
 proves_completion(const struct comet_http_head *head)
--- a/libcometspindle/adapters/gateway/gateway_private.h
+++ b/libcometspindle/adapters/gateway/gateway_private.h
@@ -46,8 +46,8 @@
 	uint64_t refused_team;     /**< over the team's limit */
 	uint64_t refused_crashing; /**< quarantined: it crashes endpoints */
 	uint64_t refused_other;
-	uint64_t failed; /**< may have run, without a complete answer */
-	uint64_t cut;    /**< the answer could not be completed */
+	uint64_t failed; /**< may have run, without a complete response */
+	uint64_t cut;    /**< the response could not be completed */
 	uint64_t left;   /**< the caller left */
 	uint64_t directory_calls[COMET_DIRECTORY_CALLS]; /**< by result */
 	uint64_t directory_losses;                       /**< outages of the directory */
@@ -65,12 +65,12 @@
 
 #define COMET_GATEWAY_USES (COMET_GATEWAY_USE_PEERS + 1)
 
-/** Latencies of answers for one kind of route. */
+/** Latencies of responses for one kind of route. */
 struct comet_gateway_times
 {
 	struct comet_latency_histogram
-		first; /**< first byte of the request to first byte of the answer */
-	struct comet_latency_histogram whole;  /**< to the end of the answer */
+		first; /**< first byte of the request to first byte of the response */
+	struct comet_latency_histogram whole;  /**< to the end of the response */
 	struct comet_latency_histogram waited; /**< until it was sent to an endpoint */
 };
 
--- a/libcometspindle/adapters/gateway/proxy_request.h
+++ b/libcometspindle/adapters/gateway/proxy_request.h
@@ -9,7 +9,7 @@
 #include <libcometspindle/gateway/event_stream.h>
 #include <libcometspindle/gateway/admission/fingerprint.h>
 
-/** A caller's request, from its arrival until it has been answered or the caller is gone. */
+/** A caller's request, until it is answered or its caller disconnects. */
 struct comet_proxy_request
 {
 	struct comet_gateway *gateway;
@@ -120,7 +120,7 @@
 comet_proxy_request_respond_error(struct comet_proxy_request *relay, unsigned int status,
 	const char *reason, uint32_t retry_after_ms);
 
-/** Frees a request whose caller has been answered or is gone. */
+/** Frees a request whose caller has been answered or has disconnected. */
 void
 comet_proxy_request_close(struct comet_proxy_request *relay);
 
--- a/libcometspindle/gateway/admission/quota_requests.h
+++ b/libcometspindle/gateway/admission/quota_requests.h
@@ -53,8 +53,8 @@
 comet_quota_requests_send(struct comet_quota_requests *charges, void *owner, uint32_t keeper,
 	const struct comet_quota_request *request, uint64_t now_us);
 
-/** Cancels the quota request of a caller that is gone. If the owner charges it later, the amount is
- * refunded. */
+/** Cancels the quota request of a caller that has disconnected. If the owner charges it later, the
+ * amount is refunded. */
 void
 comet_quota_requests_cancel(struct comet_quota_requests *charges, const void *owner);
 
--- a/libcometspindle/gateway/directory.h
+++ b/libcometspindle/gateway/directory.h
@@ -74,7 +74,7 @@
 	void (*instance)(void *ctx, const struct comet_instance_record *record);
 	/** An endpoint is no longer listed. outage_us: when the directory was last known to be
 	 * down, if the endpoint may come back after that outage. The outage may have lasted longer.
-	 * 0: the endpoint is gone. */
+	 * 0: it is not expected back. */
 	void (*instance_gone)(void *ctx, const char *id, uint64_t outage_us);
 	/** An availability zone was evacuated: its endpoints receive no new requests. */
 	void (*evacuated)(void *ctx, const char *zone);
--- a/libcometspindle/gateway/endpoints/instances.c
+++ b/libcometspindle/gateway/endpoints/instances.c
@@ -10,8 +10,9 @@
 #include <talloc.h>
 
 /* An endpoint that is missing from the directory after an outage receives no requests from this
- * long before the directory is complete again, however late the first answer of the directory came.
- * The endpoint may have left, and must then receive nothing once the directory is complete. */
+ * long before the directory is complete again, however late the first response of the directory
+ * arrived. The endpoint may have left, and must then receive nothing once the directory is
+ * complete. */
 #define SETTLED_MARGIN_US 200000
 
 struct comet_instances
--- a/libcometspindle/gateway/event_stream.c
+++ b/libcometspindle/gateway/event_stream.c
@@ -1,14 +1,14 @@
 /*
  * event_stream.c
- * splits a stream of server-sent events into whole events
+ * splits a stream of server-sent events into complete events
  */
 #include <libcometspindle/gateway/event_stream.h>
 
 #include <string.h>
 #include <talloc.h>
 
-/* A larger event is passed on in parts as they arrive. An event holds a few tokens, or a whole
- * answer as text, and an endpoint that never ends an event must not fill the 64 MB of a VM. */
+/* A larger event is passed on in parts as they arrive. An event holds a few tokens, or a complete
+ * response as text, and an endpoint that never ends an event must not fill the 64 MB of a VM. */
 #define EVENT_MAX_BYTES (512 * 1024)
 
 /* Bytes of a partly passed event that stay buffered, so that its end can be detected. */
@@ -21,7 +21,7 @@
 struct comet_event_stream
 {
 	GByteArray *bytes;
-	size_t whole_bytes;   /* length of the whole events at the start of the buffer */
+	size_t whole_bytes;   /* length of the complete events at the start of the buffer */
 	size_t ready_bytes;   /* length that can be passed on */
 	size_t scanned_bytes; /* bytes already searched for the end of an event */
 	char *last_id;
@@ -156,7 +156,7 @@
 		stream->has_data = true;
 }
 
-/* Records the ids of the whole events. The first line is skipped if its start has already been
+/* Records the ids of the complete events. The first line is skipped if its start has already been
  * removed. */
 static void
 record_ids(struct comet_event_stream *stream)
--- a/libcometspindle/gateway/event_stream.h
+++ b/libcometspindle/gateway/event_stream.h
@@ -1,9 +1,9 @@
 /*
  * event_stream.h
- * splits a stream of server-sent events into whole events
+ * splits a stream of server-sent events into complete events
  *
  * A client never receives part of an event: an event that a broken endpoint left
- * unfinished is dropped, and another endpoint can resume after the last whole one.
+ * unfinished is dropped, and another endpoint can resume after the last complete one.
  * The exception is an event that is too large to buffer. It is passed on in parts,
  * and the stream cannot be resumed within it.
  */
@@ -20,7 +20,7 @@
 struct comet_event_stream *
 comet_event_stream_create(void *parent);
 
-/** Appends bytes. @return the number of bytes that can be passed on: whole events, or parts of a
+/** Appends bytes. @return the number of bytes that can be passed on: complete events, or parts of a
  * large one. */
 size_t
 comet_event_stream_add(struct comet_event_stream *stream, const char *data, size_t length);
@@ -46,7 +46,7 @@
 const char *
 comet_event_stream_last_id(const struct comet_event_stream *stream);
 
-/** @return the number of whole events so far. */
+/** @return the number of complete events so far. */
 uint32_t
 comet_event_stream_count(const struct comet_event_stream *stream);
 
--- a/libcometspindle/gateway/fleet/gossip.c
+++ b/libcometspindle/gateway/fleet/gossip.c
@@ -1,6 +1,6 @@
 /*
  * gossip.c
- * merges the views of other VMs and tracks which VMs are alive
+ * merges the gossip messages of other VMs and tracks which VMs are alive
  */
 #include <libcometspindle/gateway/fleet/gossip_state.h>
 
@@ -8,16 +8,18 @@
 #include <string.h>
 #include <talloc.h>
 
-/* A VM is unreachable after this many rounds without a view, but not before the minimum time. */
+/* A VM is unreachable after this many rounds without a gossip message, but not before the minimum
+ * time. */
 #define UNREACHABLE_ROUNDS 5
 #define UNREACHABLE_MIN_US 1000000
 
-/* A VM is removed after this time without a view, because a replaced VM does not come back. */
+/* A VM is removed after this time without a gossip message, because a replaced VM does not come
+ * back. */
 #define PEER_EXPIRY_US 20000000
 
 /* Bounds on the known VMs, and on the teams stored for each of them: five times the VMs and three
- * times the teams of the largest deployment supported. Anyone who can reach the port may send views
- * with arbitrary entries. */
+ * times the teams of the largest deployment supported. Anyone who can reach the port may send
+ * gossip messages with arbitrary entries. */
 #define PEERS_MAX 2048
 #define TEAMS_MAX 2048
 
@@ -214,7 +216,8 @@
 	return true;
 }
 
-/* Marks VMs as unreachable, and removes those without a view for PEER_EXPIRY_US. Seeds are kept. */
+/* Marks VMs as unreachable, and removes those without a gossip message for PEER_EXPIRY_US. Seeds
+ * are kept. */
 static void
 expire_peers(struct comet_gossip *gossip, uint64_t now_us)
 {
@@ -493,7 +496,7 @@
 	struct comet_instance *instance = comet_instances_find_key(gossip->instances, instance_key);
 
 	if (peer == NULL || instance == NULL)
-		return; /* an unknown VM: its first view will include the slot */
+		return; /* an unknown VM: its first gossip message will include the slot */
 	comet_Busy *busy = find_load(peer, instance_key);
 	if (busy != NULL)
 		busy->running++;
@@ -514,7 +517,7 @@
 	comet_Busy *busy = peer != NULL ? find_load(peer, instance_key) : NULL;
 
 	if (instance == NULL || busy == NULL || busy->running == 0)
-		return; /* the next view of the VM has already removed it */
+		return; /* the next gossip message of the VM has already removed it */
 	busy->running--;
 	comet_instance_slot_released(instance);
 }
--- a/libcometspindle/gateway/fleet/gossip.h
+++ b/libcometspindle/gateway/fleet/gossip.h
@@ -2,10 +2,10 @@
  * gossip.h
  * exchange of state between VMs: which VMs are alive, what they run and what they spend
  *
- * A VM reports its state in views, which are datagrams. Each view replaces the
+ * A VM reports its state in gossip messages (View), which are datagrams. Each one replaces the
  * previous one, so a lost datagram is not sent again. VMs find each other from
- * seeds and from the peers listed in views. VMs of the same availability zone
- * exchange views more often, because they prefer the same endpoints and because
+ * seeds and from the peers listed in gossip messages. VMs of the same availability zone
+ * exchange gossip messages more often, because they prefer the same endpoints and because
  * traffic between zones is charged. This module uses no sockets and no clock.
  */
 #ifndef COMETSPINDLE_GATEWAY_GOSSIP_H
@@ -29,10 +29,10 @@
 	const uint32_t *seeds;
 	size_t n_seeds;
 	const char *zone;
-	uint32_t near_bytes_per_s; /**< byte budget for views to VMs of the same zone */
-	uint32_t far_bytes_per_s;  /**< byte budget for views to VMs of other zones */
+	uint32_t near_bytes_per_s; /**< byte budget for gossip messages to VMs of the same zone */
+	uint32_t far_bytes_per_s;  /**< byte budget for gossip messages to VMs of other zones */
 	uint32_t cpu_percent;      /**< CPU allowance of this VM, in percent of a core */
-	struct comet_crash_tracker *crash_tracker; /**< exchanged in views; NULL: not exchanged */
+	struct comet_crash_tracker *crash_tracker; /**< exchanged by gossip; NULL: not exchanged */
 };
 
 struct comet_gossip_ops
@@ -49,7 +49,7 @@
 	struct comet_instances *instances, struct comet_rate_limiter *rate_limiter,
 	const struct comet_gossip_ops *ops, void *ctx);
 
-/** Merges a received view. @return false if the view has no sender address. */
+/** Merges a received gossip message. @return false if it has no sender address. */
 bool
 comet_gossip_receive(struct comet_gossip *gossip, const comet_View *view,
 	uint64_t now_us) G_GNUC_WARN_UNUSED_RESULT;
@@ -80,13 +80,14 @@
 comet_gossip_find_seed_owner(const struct comet_gossip *gossip, uint32_t key,
 	comet_gossip_is_unresponsive is_unresponsive, const void *ctx);
 
-/** Counts a slot that this VM has granted to another VM, until the next view of that VM includes
- * it. */
+/** Counts a slot that this VM has granted to another VM, until the next gossip message of that VM
+ * includes it. */
 void
 comet_gossip_slot_granted(struct comet_gossip *gossip, uint32_t address, uint32_t instance_key,
 	uint32_t prompt_tokens, uint64_t now_us);
 
-/** Removes a granted slot that another VM has released, until the next view of that VM reflects it.
+/** Removes a granted slot that another VM has released, until the next gossip message of that VM
+ * reflects it.
  */
 void
 comet_gossip_slot_released(struct comet_gossip *gossip, uint32_t address, uint32_t instance_key);
@@ -105,15 +106,15 @@
 void
 comet_gossip_broadcast_zone(struct comet_gossip *gossip, const uint8_t *data, size_t length);
 
-/** Sends the views that are due; call this about 20 times a second or more. */
+/** Sends the gossip messages that are due; call this about 20 times a second or more. */
 void
 comet_gossip_tick(struct comet_gossip *gossip, uint64_t now_us);
 
-/** Schedules an early round of views to all VMs, for a change that all of them need. */
+/** Schedules an early round of gossip messages to all VMs, for a change that all of them need. */
 void
 comet_gossip_schedule_broadcast(struct comet_gossip *gossip);
 
-/** Sets the directory position that this VM has read and reports in its views. */
+/** Sets the directory position that this VM has read and reports in its gossip messages. */
 void
 comet_gossip_set_revision(struct comet_gossip *gossip, uint64_t revision);
 
@@ -135,7 +136,7 @@
 size_t
 comet_gossip_entry_count(const struct comet_gossip *gossip);
 
-/** @return the time between two rounds of views to all VMs. */
+/** @return the time between two rounds of gossip messages to all VMs. */
 uint64_t
 comet_gossip_interval_us(const struct comet_gossip *gossip);
 
--- a/libcometspindle/gateway/fleet/gossip_rounds.c
+++ b/libcometspindle/gateway/fleet/gossip_rounds.c
@@ -1,8 +1,8 @@
 /*
  * gossip_rounds.c
- * builds the views of this VM and sends them in rounds
+ * builds the gossip messages of this VM and sends them in rounds
  *
- * VMs of the same zone receive every view directly. A large zone receives them
+ * VMs of the same zone receive every gossip message directly. A large zone receives them
  * through a few of its VMs, which forward them, because traffic between zones is
  * charged.
  */
@@ -17,8 +17,8 @@
 /* Maximum time between rounds: the window of team limits is only some seconds long. */
 #define ROUND_INTERVAL_MAX_US 2000000
 
-/* Interval of views to an unreachable VM, or to a seed without an answer: a partition or a freeze
- * lasts seconds. */
+/* Interval of gossip messages to an unreachable VM, or to a seed without an answer: a partition or
+ * a freeze lasts seconds. */
 #define RETRY_INTERVAL_US 1000000
 
 /* Shorter interval to seeds during the first seconds of a process: if all VMs start together, the
@@ -27,23 +27,23 @@
 #define STARTUP_RETRY_INTERVAL_US 100000
 #define STARTUP_US 3000000
 
-/* A zone with at least this many VMs receives views through forwarders, because traffic between
- * zones is charged. */
+/* A zone with at least this many VMs receives gossip messages through forwarders, because traffic
+ * between zones is charged. */
 #define FORWARDED_ZONE_MIN_VMS 8
 
-/* Each view reports a team for this time after it last spent something: several rounds, since one
- * may be lost. */
+/* Each gossip message reports a team for this time after it last spent something: several rounds,
+ * since one may be lost. */
 #define RECENT_SPENDING_US (4 * ROUND_INTERVAL_MAX_US)
 
-/* Number of other teams that each view reports in turn, for VMs that have just started and to
- * compensate for lost datagrams. */
+/* Number of other teams that each gossip message reports in turn, for VMs that have just started
+ * and to compensate for lost datagrams. */
 #define OTHER_TEAMS_PER_VIEW 6
 
 /* In a zone with at least this many VMs, each forwarder serves half of them: if both served all,
- * every VM would receive each view twice. */
+ * every VM would receive each gossip message twice. */
 #define SPLIT_ZONE_MIN_VMS 24
 
-/* Selects the VMs to which a forwarder sends a view; values of View.pass_on. */
+/* Selects the VMs to which a forwarder sends a gossip message; values of View.pass_on. */
 enum pass_on
 {
 	PASS_ON_NONE,
@@ -104,7 +104,7 @@
 	}
 }
 
-/* @return whether a VM receives views through forwarders of its zone. */
+/* @return whether a VM receives gossip messages through forwarders of its zone. */
 static bool
 is_forwarded(const struct comet_gossip *gossip, const struct comet_gossip_peer *peer)
 {
@@ -133,7 +133,7 @@
 	return sum;
 }
 
-/* @return the time over which sending this many views stays within a byte budget. */
+/* @return the time over which sending this many gossip messages stays within a byte budget. */
 static uint64_t
 send_time_us(const struct comet_gossip *gossip, uint32_t count, uint32_t bytes_per_s)
 {
@@ -142,7 +142,7 @@
 	return bytes * 1000000 / MAX(bytes_per_s, 1);
 }
 
-/* Forwarded views from other zones also count against the budget within the zone. */
+/* Forwarded gossip messages from other zones also count against the budget within the zone. */
 uint64_t
 comet_gossip_round_interval_us(const struct comet_gossip *gossip, bool same_zone)
 {
@@ -175,9 +175,9 @@
 {
 	comet_View *view;
 	uint64_t now_us;
-	uint32_t skipped; /* teams without recent spending to skip, which earlier views reported */
+	uint32_t skipped;     /* teams without recent spending that earlier messages reported */
 	uint32_t other_count; /* teams without recent spending so far */
-	uint32_t other_added; /* of them, those added to this view */
+	uint32_t other_added; /* of them, those added to this gossip message */
 };
 
 /* Adds the teams with recent spending, and some of the others in turn. */
@@ -203,7 +203,7 @@
 	};
 }
 
-/* @return whether views may list a VM. */
+/* @return whether gossip messages may list a VM. */
 static bool
 can_be_listed(const struct comet_gossip_peer *peer)
 {
@@ -249,7 +249,7 @@
 	gossip->next_peer += MAX(view->peers_count, 1);
 }
 
-/* Builds this VM's view. @return its encoded length. */
+/* Builds this VM's gossip message. @return its encoded length. */
 static size_t
 build_view(struct comet_gossip *gossip, uint8_t data[COMET_DATAGRAM_BYTES_MAX], bool all_zones,
 	uint32_t zone, uint64_t now_us)
@@ -290,8 +290,8 @@
 	return comet_datagram_encode(datagram, data);
 }
 
-/* @return whether to send a view to a VM now. Unreachable VMs, and seeds without an answer, are due
- * at the retry interval. */
+/* @return whether to send a gossip message to a VM now. Unreachable VMs, and seeds without an
+ * answer, are due at the retry interval. */
 static bool
 is_due(const struct comet_gossip *gossip, const struct comet_gossip_peer *peer, uint64_t now_us)
 {
@@ -302,7 +302,7 @@
 	return reachable || peer->last_sent_us == 0 || now_us - peer->last_sent_us >= retry_us;
 }
 
-/* Sends this VM's view to the forwarders of another zone. */
+/* Sends this VM's gossip message to the forwarders of another zone. */
 static void
 send_to_zone_forwarders(struct comet_gossip *gossip, const struct comet_gossip_zone *zone)
 {
@@ -321,7 +321,7 @@
 	}
 }
 
-/* Sends this VM's view to the forwarders of all large zones. */
+/* Sends this VM's gossip message to the forwarders of all large zones. */
 static void
 send_to_forwarders(struct comet_gossip *gossip)
 {
@@ -411,8 +411,8 @@
 		send_to_forwarders(gossip);
 }
 
-/* Answers each view of a VM that has no peers, with VMs of its zone. Such a VM cannot wait for a
- * round, because the forwarders of a large zone may not know it. */
+/* Answers each gossip message of a VM that has no peers, with VMs of its zone. Such a VM cannot
+ * wait for a round, because the forwarders of a large zone may not know it. */
 static void
 answer_isolated_peer(struct comet_gossip *gossip, struct comet_gossip_peer *peer, uint64_t now_us)
 {
--- a/libcometspindle/gateway/fleet/gossip_state.h
+++ b/libcometspindle/gateway/fleet/gossip_state.h
@@ -10,25 +10,25 @@
 /* Forwarders of a zone. Each round selects others, because one may be frozen or partitioned. */
 #define COMET_GOSSIP_FORWARDERS 2
 
-/** Another VM and the state that its last view reported. */
+/** Another VM and the state that its last gossip message reported. */
 struct comet_gossip_peer
 {
 	uint32_t address;
 	uint64_t incarnation;
-	uint64_t view_number;    /* number of the last view */
-	uint64_t last_seen_us;   /* 0: no view received yet */
+	uint64_t view_number;    /* number of the last gossip message */
+	uint64_t last_seen_us;   /* 0: no gossip message received yet */
 	uint64_t first_known_us; /* when this VM first learned of it */
 	uint64_t started_us;     /* start of its process, from the age that it reports */
-	uint64_t last_sent_us;   /* when a view was last sent to it */
+	uint64_t last_sent_us;   /* when a gossip message was last sent to it */
 	uint64_t revision;
 	uint32_t zone; /* 0: unknown */
 	uint32_t cpu_percent;
 	bool leaving; /* it is stopping, but may still spend until it is unreachable */
 	bool unreachable;
-	bool needs_view; /* send it a view without waiting for a round, since it may not know this
-			    VM */
-	bool isolated;   /* it has no peers: answer with a view that lists VMs of its zone */
-	bool has_reported_spending; /* an earlier view of this incarnation was merged */
+	bool needs_view; /* send it a gossip message without waiting for a round, since it may not
+			    know this VM */
+	bool isolated;   /* it has no peers: answer with a list of VMs of its zone */
+	bool has_reported_spending; /* an earlier gossip message of this incarnation was merged */
 	bool seed;
 	GArray *loads;                 /* of comet_Busy */
 	GHashTable *reported_spending; /* team -> uint64_t, the amount last reported */
@@ -46,7 +46,7 @@
 {
 	uint32_t address;
 	uint64_t incarnation;
-	uint64_t view_number; /* number of the last view */
+	uint64_t view_number; /* number of the last gossip message */
 	uint64_t started_us;
 	uint64_t revision;
 	uint32_t window_ms;
@@ -63,12 +63,12 @@
 	GHashTable *zones; /* other zones: id -> struct comet_gossip_zone, as of the last tick */
 	uint32_t zone_peer_count;
 	uint32_t remote_peer_count;
-	size_t view_bytes; /* size of the last view */
+	size_t view_bytes; /* size of the last gossip message */
 	uint64_t zone_sent_us;
 	uint64_t all_sent_us;
 	bool is_seed;       /* this VM is one of its own seeds */
-	uint32_t next_team; /* where the next view continues the list of teams */
-	uint32_t next_peer; /* where the next view continues the list of VMs */
+	uint32_t next_team; /* where the next gossip message continues the list of teams */
+	uint32_t next_peer; /* where the next gossip message continues the list of VMs */
 	bool leaving;
 	bool broadcast_pending;  /* the next round goes to all VMs, ahead of schedule */
 	bool remote_load_stale;  /* remote load must be summed again */
@@ -98,15 +98,15 @@
 uint64_t
 comet_gossip_round_interval_us(const struct comet_gossip *gossip, bool same_zone);
 
-/** Sends this VM's view to the VMs of its zone, or to all VMs. */
+/** Sends this VM's gossip message to the VMs of its zone, or to all VMs. */
 void
 comet_gossip_send_round(struct comet_gossip *gossip, bool all_zones, uint64_t now_us);
 
-/** Sends this VM's view to newly found VMs without waiting for a round. */
+/** Sends this VM's gossip message to newly found VMs without waiting for a round. */
 void
 comet_gossip_send_to_new_peers(struct comet_gossip *gossip, uint64_t now_us);
 
-/** Forwards a view from another zone to the VMs of this zone. */
+/** Forwards a gossip message from another zone to the VMs of this zone. */
 void
 comet_gossip_forward_to_zone(struct comet_gossip *gossip, const comet_View *view);
 
--- a/libcometspindle/gateway/fleet/reader_election.c
+++ b/libcometspindle/gateway/fleet/reader_election.c
@@ -11,7 +11,7 @@
 /* In smaller zones, readers would save too few calls. */
 #define ZONE_VMS_MIN 8
 
-/* Readers per zone: one may be frozen, partitioned or gone. */
+/* Readers per zone: one may be frozen, partitioned or terminated. */
 #define READERS_PER_ZONE 2
 
 /* Stored reports: those of the readers before and after a change of readers. */
--- a/libcometspindle/gateway/placement/endpoint_picker.c
+++ b/libcometspindle/gateway/placement/endpoint_picker.c
@@ -1,6 +1,6 @@
 /*
  * endpoint_picker.c
- * Picks the cheapest endpoint that has room for a request.
+ * Picks the cheapest endpoint that has capacity for a request.
  */
 #include <libcometspindle/gateway/placement/endpoint_picker.h>
 
@@ -13,10 +13,10 @@
 #define QUEUE_LIMIT_RANK_0 2
 #define QUEUE_LIMIT_RANK_1 1
 
-/* Plain services answer in tens of milliseconds, so a second request per slot may queue there. */
+/* Plain services respond in tens of milliseconds, so a second request per slot may queue there. */
 #define PLAIN_QUEUE_PERCENT 100
 
-/* Weight of the time from the first event of an answer to its end, relative to the time before the
+/* Weight of the time from the first event of a response to its end, relative to the time before the
  * first event. */
 #define COMPLETION_WEIGHT 0.5
 
@@ -24,11 +24,11 @@
  * requests concurrently, and engines pause all streams while they read a prompt. */
 #define LOAD_WEIGHT 0.5
 
-/* Factor applied to the estimated duration of an answer. Length estimates are correct only at the
- * median; the factor covers most of the longer answers. */
+/* Factor applied to the estimated duration of a response. Length estimates are correct only at the
+ * median; the factor covers most of the longer responses. */
 #define LENGTH_MARGIN 2.0
 
-/* Cost of each second by which an answer would miss its deadline, in seconds of waiting. */
+/* Cost of each second by which a response would miss its deadline, in seconds of waiting. */
 #define LATENESS_WEIGHT 2.0
 
 /* Cost of an endpoint in another availability zone: a round trip and the traffic between
@@ -120,7 +120,7 @@
 	struct comet_instance *instance; /* NULL: no candidate */
 	uint32_t load;
 	uint64_t first_us; /* from the start of service to the first event */
-	uint64_t total_us; /* from the start of service to the end of the answer */
+	uint64_t total_us; /* from the start of service to the end of the response */
 	double wait_us;    /* until a slot is free */
 	double cost;
 };
@@ -147,7 +147,7 @@
 	double zone_cost = instance->near ? 0 : CROSS_ZONE_COST_US;
 	candidate.cost = candidate.wait_us + load_cost + zone_cost + first_us +
 			 COMPLETION_WEIGHT * (total_us - first_us);
-	/* The answer has to be complete in time even if it is longer than estimated. */
+	/* The response has to be complete in time even if it is longer than estimated. */
 	double end_us = (double)now_us + candidate.wait_us + LENGTH_MARGIN * total_us;
 	if (item->end_us != 0 && end_us > (double)item->end_us)
 		candidate.cost += LATENESS_WEIGHT * (end_us - (double)item->end_us);
@@ -156,7 +156,7 @@
 	return candidate;
 }
 
-/* Returns whether the answer would begin by the soft deadline. Always true if there is no such
+/* Returns whether the response would begin by the soft deadline. Always true if there is no such
  * deadline or if it can no longer be met. */
 static bool
 meets_soft_deadline(
--- a/libcometspindle/gateway/placement/endpoint_picker.h
+++ b/libcometspindle/gateway/placement/endpoint_picker.h
@@ -1,6 +1,6 @@
 /*
  * endpoint_picker.h
- * Picks the cheapest endpoint that has room for a request.
+ * Picks the cheapest endpoint that has capacity for a request.
  *
  * An endpoint that would miss the soft deadline of the request is not picked
  * while a full endpoint would still meet it; the decision is then marked as
@@ -40,7 +40,7 @@
 uint32_t
 comet_endpoint_picker_queue_limit(const struct comet_placement_item *item);
 
-/** @return whether the item may be sent to the instance, provided that the instance has room. */
+/** @return whether the item may be sent to the instance if the instance has capacity. */
 bool
 comet_endpoint_picker_is_usable(const struct comet_placement_item *item,
 	const struct comet_instance *instance, uint64_t now_us);
@@ -51,7 +51,7 @@
 	const struct comet_placement_item *item, const struct comet_instance *instance);
 
 /**
- * Picks the cheapest instance with room and stores the inputs of the pick in decision.
+ * Picks the cheapest instance with capacity and stores the inputs of the pick in decision.
  * @return the instance, or NULL if none was picked.
  */
 struct comet_instance *
--- a/libcometspindle/gateway/placement/grants.h
+++ b/libcometspindle/gateway/placement/grants.h
@@ -26,7 +26,7 @@
 	/** Requesting VM: the owner granted a slot at an instance. */
 	void (*granted)(void *ctx, struct comet_placement_item *item, uint32_t keeper,
 		uint32_t instance_key);
-	/** Requesting VM: no endpoint of the shard has room with this queue limit. */
+	/** Requesting VM: no endpoint of the shard has capacity with this queue limit. */
 	void (*denied)(
 		void *ctx, struct comet_placement_item *item, uint32_t shard, uint32_t beyond);
 	/** Requesting VM: the request waits at the owner, which expects the wait to take
@@ -39,8 +39,8 @@
 	void (*unanswered)(void *ctx, struct comet_placement_item *item, uint32_t keeper);
 	/**
 	 * Owner: selects an instance for the slot request of another VM.
-	 * @return the key of the instance; 0 when none has room, and then *wait says whether the
-	 * request waits here.
+	 * @return the key of the instance; 0 when none has capacity, and then *wait says whether
+	 * the request waits here.
 	 */
 	uint32_t (*choose)(void *ctx, const comet_SlotAsk *request,
 		struct comet_placement_wait_estimate *wait);
@@ -71,9 +71,9 @@
 {
 	enum comet_dispatch_result result;
 	bool stream;
-	uint32_t events; /**< number of events of a complete streamed answer, otherwise 0 */
-	/** Time from the first event to the last, or of the whole answer when it is not streamed; 0
-	 * when unknown. */
+	uint32_t events; /**< number of events of a complete streamed response, otherwise 0 */
+	/** Time from the first event to the last, or of the complete response when it is not
+	 * streamed; 0 when unknown. */
 	uint64_t taken_us;
 };
 
--- a/libcometspindle/gateway/placement/placement.c
+++ b/libcometspindle/gateway/placement/placement.c
@@ -220,8 +220,8 @@
 	}
 }
 
-/* Dispatches a queued request if an endpoint has room for it, or sends a slot request to an owner.
- * @return false if no request behind it can have room */
+/* Dispatches a queued request if an endpoint has capacity, or sends a slot request to an owner.
+ * @return false if no request behind it can have capacity */
 static bool
 serve_item(struct comet_placement *placement, struct comet_placement_item *item, uint64_t now_us)
 {
@@ -239,7 +239,8 @@
 	return true;
 }
 
-/* Serves requests of this VM and remote waiters in one order of rank until no endpoint has room. */
+/* Serves requests of this VM and remote waiters in one order of rank until no endpoint has
+ * capacity. */
 static void
 run_queue(struct comet_placement *placement, struct comet_placement_queue *queue, uint64_t now_us)
 {
@@ -302,7 +303,7 @@
 	placement->running = false;
 }
 
-/* Enqueues an item that found no room, or refuses it if it would expire in the queue. @return
+/* Enqueues an item that found no capacity, or refuses it if it would expire in the queue. @return
  * whether it was enqueued; if not, the item may have been freed */
 static bool
 enqueue_or_refuse(
@@ -387,7 +388,7 @@
 		!comet_endpoint_picker_is_usable(item, instance, now_us))
 	{
 		/* The endpoint lists of the VMs differ, more endpoints are ejected than a slot
-		 * request can exclude, or the reply is not from an owner. The service is compared
+		 * request can exclude, or the answer is not from an owner. The service is compared
 		 * because a request must never be sent to another service. */
 		instance = comet_placement_choose_by_gossip(placement, item, now_us);
 		if (instance != NULL)
--- a/libcometspindle/gateway/placement/placement.h
+++ b/libcometspindle/gateway/placement/placement.h
@@ -3,8 +3,8 @@
  * Decides which endpoint a request is sent to and when, and refuses requests
  * that would expire in the queue.
  *
- * Requests that find no room wait in order of rank. Each is dispatched as soon
- * as an endpoint has room for its rank. A request is refused early if it could
+ * Requests that find no capacity wait in order of rank. Each is dispatched as soon
+ * as an endpoint has capacity for its rank. A request is refused early if it could
  * not be answered while its caller still waits.
  */
 #ifndef COMETSPINDLE_GATEWAY_PLACEMENT_H
@@ -54,7 +54,7 @@
 comet_placement_granted(struct comet_placement *placement, struct comet_placement_item *item,
 	uint32_t keeper, uint32_t instance_key, uint64_t now_us) G_GNUC_WARN_UNUSED_RESULT;
 
-/** Handles the denial of a slot request: no endpoint of the shard has room at that level. */
+/** Handles the denial of a slot request: no endpoint of the shard has capacity at that level. */
 void
 comet_placement_denied(struct comet_placement *placement, struct comet_placement_item *item,
 	uint32_t shard, uint32_t beyond, uint64_t now_us);
@@ -81,7 +81,7 @@
 
 /**
  * Picks an instance, as the owner, for a request of another VM.
- * @return the instance, or NULL if none has room; wait tells whether the request now waits here
+ * @return the instance, or NULL if none has capacity; wait says whether the request now waits here
  */
 struct comet_instance *
 comet_placement_choose_remote(struct comet_placement *placement,
--- a/libcometspindle/gateway/placement/placement_find.c
+++ b/libcometspindle/gateway/placement/placement_find.c
@@ -65,7 +65,7 @@
 {
 	struct comet_shard *shard;
 	enum comet_placement_owner keeper;
-	struct comet_instance *best; /* by the information of this VM; NULL: no instance has room */
+	struct comet_instance *best; /* as far as this VM knows; NULL: none has capacity */
 	struct comet_placement_decision decision;
 };
 
@@ -120,9 +120,9 @@
 	return candidate->best;
 }
 
-/* Searches all shards, from a random one on. Prefers the cheapest shard with room, and otherwise an
- * owner that may know of room which gossip does not show. local_only: skips shards that need a slot
- * request. */
+/* Searches all shards, from a random one on. Prefers the cheapest shard with capacity, and
+ * otherwise an owner that may know of capacity which gossip does not show. local_only: skips shards
+ * that need a slot request. */
 static struct comet_instance *
 find_at_level(struct comet_placement *placement, struct comet_placement_item *item,
 	const GPtrArray *shards, uint32_t beyond, bool local_only, uint64_t now_us)
--- a/libcometspindle/gateway/placement/placement_item.h
+++ b/libcometspindle/gateway/placement/placement_item.h
@@ -27,10 +27,10 @@
 	uint32_t route_rank; /**< Compared among equal team_rank; 0 is the most urgent. */
 	bool repeatable; /**< A failed attempt may be retried, so the request may probe an ejected
 			    endpoint. */
-	uint64_t end_us; /**< An answer must be complete by then to be of use; 0: no deadline. */
+	uint64_t end_us; /**< A response must be complete by then to be of use; 0: no deadline. */
 	uint64_t dispatch_deadline_us; /**< The request is refused if it has not been dispatched by
 					  then. */
-	uint64_t soft_deadline_us;     /**< An answer should begin by then; 0: no such deadline. */
+	uint64_t soft_deadline_us;     /**< A response should begin by then; 0: no such deadline. */
 	uint64_t early_us;             /**< Until then a refusal costs the caller little. */
 	uint32_t
 		tried[COMET_PLACEMENT_TRIED_MAX]; /**< Keys of the instances of earlier attempts. */
@@ -40,8 +40,8 @@
 	/* The members below are private to placement. */
 	bool asking;     /* a slot request is pending at an owner */
 	bool was_queued; /* has been in the queue since it was submitted */
-	bool late;       /* an answer can no longer begin by soft_deadline_us */
-	bool deferred;   /* endpoints with room would miss the soft deadline */
+	bool late;       /* a response can no longer begin by soft_deadline_us */
+	bool deferred;   /* endpoints with capacity would miss the soft deadline */
 	GSequenceIter *queue_position;
 	uint64_t submitted_us;
 	uint64_t sequence;
@@ -59,9 +59,9 @@
 	struct comet_request_size job;
 	uint32_t team_rank;
 	uint32_t route_rank;
-	bool late;                 /**< The answer can no longer begin by soft_deadline_us. */
-	uint64_t end_us;           /**< The answer must be complete by then; 0: no deadline. */
-	uint64_t soft_deadline_us; /**< The answer should begin by then; 0: no such deadline. */
+	bool late;                 /**< The response can no longer begin by soft_deadline_us. */
+	uint64_t end_us;           /**< The response must be complete by then; 0: no deadline. */
+	uint64_t soft_deadline_us; /**< The response should begin by then; 0: no such deadline. */
 	uint64_t wait_us; /**< Time that the request may wait at the owner; 0: the owner replies at
 			     once. */
 };
@@ -116,8 +116,8 @@
 	uint64_t waited_us;
 	uint64_t view_age_us; /**< Age of the load information. */
 	double cost;          /**< Estimated cost of the picked instance, in microseconds. */
-	bool deferred; /**< No instance was picked: those with room would miss the soft deadline,
-			  and a full one would meet it. */
+	bool deferred;        /**< No instance was picked: those with capacity would miss the soft
+				 deadline,        and a full one would meet it. */
 };
 
 #endif
--- a/libcometspindle/gateway/placement/placement_remote_waiters.c
+++ b/libcometspindle/gateway/placement/placement_remote_waiters.c
@@ -18,8 +18,8 @@
 /* Maximum number of remote waiters of a service: four for each VM that may be known. */
 #define REMOTE_WAITERS_MAX 8192
 
-/* Picks an instance for a remote waiter at one level of room, or returns NULL. deferred: endpoints
- * with room would miss the soft deadline. */
+/* Picks an instance for a remote waiter at one level of capacity, or returns NULL. deferred:
+ * endpoints with capacity would miss the soft deadline. */
 static struct comet_instance *
 pick_at_level(struct comet_placement *placement,
 	const struct comet_placement_remote_waiter *remote_waiter, const struct comet_shard *shard,
--- a/libcometspindle/gateway/placement/placement_state.h
+++ b/libcometspindle/gateway/placement/placement_state.h
@@ -84,7 +84,7 @@
 	struct comet_placement_queue *queue, const struct comet_placement_item *item);
 
 /**
- * Returns whether an answer would miss the soft deadline of the item if its service began after
+ * Returns whether a response would miss the soft deadline of the item if its service began after
  * wait_us.
  */
 bool
@@ -101,7 +101,7 @@
 /**
  * Finds a slot: free slots in any shard first, then places in the queues of endpoints. A queued
  * item for which there is neither waits at one of the owners.
- * @return the instance; NULL: no room, or a slot request was sent and item->asking is set
+ * @return the instance; NULL: no capacity, or a slot request was sent and item->asking is set
  */
 struct comet_instance *
 comet_placement_find(
@@ -116,8 +116,8 @@
 
 /**
  * Picks an instance, as the owner, for a request of another VM.
- * @return the instance, or NULL if none has room; if wait->waits is set, the request now waits here
- * and the caller has to run the queue
+ * @return the instance, or NULL if none has capacity; if wait->waits is set, the request now waits
+ * here and the caller has to run the queue
  */
 struct comet_instance *
 comet_placement_admit_remote_waiter(struct comet_placement *placement,
@@ -131,7 +131,7 @@
 comet_placement_expire_remote_waiters(
 	struct comet_placement *placement, struct comet_placement_queue *queue, uint64_t now_us);
 
-/** Grants a slot to a remote waiter and removes it, if an instance has room. */
+/** Grants a slot to a remote waiter and removes it, if an instance has capacity. */
 void
 comet_placement_grant_remote_waiter(struct comet_placement *placement,
 	struct comet_placement_remote_waiter *remote_waiter, uint64_t now_us);
--- a/libcometspindle/gateway/placement/shards.h
+++ b/libcometspindle/gateway/placement/shards.h
@@ -27,8 +27,8 @@
 	/** Address of the owner as of owner_checked_us; 0 when there is none. */
 	uint32_t keeper;
 	uint64_t owner_checked_us;
-	/** By queue limit: the time until which the owner is taken to have no room; 0 when it is
-	 * not known to be full. */
+	/** By queue limit: the time until which the owner is taken to have no capacity; 0 when it
+	 * is not known to be full. */
 	uint64_t denied_us[COMET_SHARD_LEVELS];
 	/** On the owner, by queue limit: the last pass over the queue that found the shard full. */
 	uint64_t full_pass[COMET_SHARD_LEVELS];
@@ -47,8 +47,8 @@
 struct comet_shard *
 comet_shards_find(struct comet_shards *shards, uint32_t id);
 
-/** Records that the owner has no room with this queue limit, and hence with no smaller one, until
- * until_us. */
+/** Records that the owner has no capacity with this queue limit, and hence with no smaller one,
+ * until until_us. */
 void
 comet_shard_denied(struct comet_shard *shard, uint32_t level, uint64_t until_us);
 
--- a/libcometspindle/gateway/routing/routes.h
+++ b/libcometspindle/gateway/routing/routes.h
@@ -40,8 +40,8 @@
 	bool resumable;      /**< an interrupted stream may be resumed at another endpoint */
 	bool open;           /**< needs no API key */
 	uint32_t timeout_ms; /**< longest time that a request is held; 0: no limit */
-	uint32_t aim_ms; /**< target for the time to the complete answer, or to the first event of a
-			    stream */
+	uint32_t aim_ms; /**< target for the time to the complete response, or to the first event of
+			    a stream */
 	uint32_t gap_ms; /**< target for the longest pause between events; 0: none */
 	uint32_t max_attempts; /**< maximum number of endpoints that one request is sent to */
 	uint32_t priority;     /**< 0 is the most urgent */
--- a/tests/unit/test_event_stream.cc
+++ b/tests/unit/test_event_stream.cc
@@ -1,6 +1,6 @@
 /*
  * test_event_stream.cc
- * tests of splitting a stream of server-sent events into whole events
+ * tests of splitting a stream of server-sent events into complete events
  */
 #include <gtest/gtest.h>
 
--- a/tests/unit/test_gateway_orders.cc
+++ b/tests/unit/test_gateway_orders.cc
@@ -165,7 +165,8 @@
 	return spent;
 }
 
-/* Three VMs spend the quota of a team as fast as their rate limiters allow, while views are lost.
+/* Three VMs spend the quota of a team as fast as their rate limiters allow, while gossip messages
+ * are lost.
  */
 TEST(MessageOrders, TeamLimitHoldsWhenViewsAreLost)
 {
--- a/tests/unit/test_gateway_placement.cc
+++ b/tests/unit/test_gateway_placement.cc
@@ -219,7 +219,7 @@
 }
 
 /* Guards against the ejection of an endpoint because of one long request. The endpoint was then
- * avoided although it answered all other requests. */
+ * excluded although it answered all other requests. */
 TEST_F(PlacementTest, ASlowRequestDoesNotEjectItsEndpoint)
 {
 	comet_instance *instance = add("a");
--- a/tests/unit/test_gateway_views.cc
+++ b/tests/unit/test_gateway_views.cc
@@ -134,7 +134,7 @@
 	}
 }
 
-/* A view of a VM that no other VM knows, which lists peers and teams. */
+/* A gossip message of a VM that no other VM knows, which lists peers and teams. */
 comet_View
 make_view(uint32_t address, uint64_t number)
 {
@@ -269,7 +269,7 @@
 	EXPECT_EQ(comet_rate_limiter_remaining(fleet.all[3].rate_limiter, team, now_us), 8900);
 }
 
-/* A view reports a team that has spent something recently, and the others in turn. What a
+/* A gossip message reports a team that has spent something recently, and the others in turn. What a
  * long-running VM spent before the window must not be charged when it first reports a team. */
 TEST(Gossip, SpendingBeforeTheWindowIsNotCharged)
 {
@@ -297,8 +297,9 @@
 		before - 140);
 }
 
-/* Each view listed every team that its VM had served since its start. Of the 900 bytes of a
- * view, 700 held nothing new, and the views of 295 VMs filled their links and delayed responses. */
+/* Each gossip message listed every team that its VM had served since its start. Of the 900 bytes of
+ * a gossip message, 700 held nothing new, and the gossip messages of 295 VMs filled their links and
+ * delayed responses. */
 TEST(Gossip, ViewSizeDependsOnRecentSpendingOnly)
 {
 	comet_http_limits limits = {};
@@ -337,8 +338,8 @@
 	comet_route_table_unref(table);
 }
 
-/* After all VMs were killed, the amount that each VM spent before its first view arrived was
- * charged nowhere. It must be charged when the view arrives. */
+/* After all VMs were killed, the amount that each VM spent before its first gossip message arrived
+ * was charged nowhere. It must be charged when the gossip message arrives. */
 TEST(Gossip, SpendingBeforeTheFirstViewIsCharged)
 {
 	vms fleet(3);
@@ -441,7 +442,7 @@
 	/* a second has at most ten rounds, and in each round a VM sends to two VMs of the other
 	 * zone */
 	EXPECT_LE(fleet.between_zones, 40U * 10 * 2);
-	/* if a VM of the other zone is partitioned, others forward the views */
+	/* if a VM of the other zone is partitioned, others forward the gossip messages */
 	EXPECT_EQ(comet_rate_limiter_spend(fleet.all[2].rate_limiter, team, 0, 100,
 			  COMET_RATE_LIMITER_GOSSIP, now_us),
 		0U);
@@ -471,7 +472,8 @@
 
 /* Of 295 VMs that started together, 35 had no peers for a whole day, and only the seeds knew them.
  * A seed sends to large zones through forwarders, which did not know these VMs, and listed them in
- * no view for minutes. Each acted as the only VM and granted the whole limit of every team. */
+ * no gossip message for minutes. Each acted as the only VM and granted the whole limit of every
+ * team. */
 TEST(Gossip, AllVmsOfALargeFleetFindEachOther)
 {
 	constexpr uint32_t count = 150;
