--- a/libcometspindle/adapters/gateway/gateway.c
+++ b/libcometspindle/adapters/gateway/gateway.c
@@ -59,11 +59,11 @@
  * shows that the process did not run. */
 #define PAUSE_MIN_US 400000
 
-/* After a pause, input is handled for this time before timers fire, so that an answer that has
+/* After a pause, input is handled for this time before timers fire, so that a response that has
  * arrived precedes its deadline. Reading all connections of a busy VM takes a few milliseconds. */
 #define CATCH_UP_US 20000
 
-/* Bounds of the time for which a directory reader is followed after its last answer: it covers
+/* Bounds of the time for which a directory reader is followed after its last response: it covers
  * several calls of the reader, and is shorter than a change may take to be in force. */
 #define READER_TIMEOUT_MIN_MS 500
 #define READER_TIMEOUT_MAX_MS 2000
--- a/libcometspindle/adapters/gateway/gateway.h
+++ b/libcometspindle/adapters/gateway/gateway.h
@@ -25,7 +25,7 @@
 	const char *address; /**< of the directory */
 	struct comet_byte_counters
 		*counted;     /**< counts the bytes read; NULL: they are not counted */
-	uint32_t followed_ms; /**< how long a directory reader is followed after an answer */
+	uint32_t followed_ms; /**< how long a directory reader is followed after a response */
 	const struct comet_directory_events *events;
 	void *ctx;
 };
--- a/libcometspindle/adapters/gateway/gateway_reader_election.c
+++ b/libcometspindle/adapters/gateway/gateway_reader_election.c
@@ -22,9 +22,9 @@
 	return names[reading];
 }
 
-/* Returns the age of the directory's last answer. */
+/* Returns the age of the directory's last response. */
 static uint64_t
-answer_age_us(const struct comet_gateway *gateway, uint64_t now_us)
+response_age_us(const struct comet_gateway *gateway, uint64_t now_us)
 {
 	return gateway->answered_us != 0 ? now_us - gateway->answered_us : now_us;
 }
@@ -33,7 +33,7 @@
 comet_gateway_report_position(struct comet_gateway *gateway, uint64_t now_us)
 {
 	uint8_t data[COMET_DATAGRAM_BYTES_MAX];
-	uint64_t age_us = answer_age_us(gateway, now_us);
+	uint64_t age_us = response_age_us(gateway, now_us);
 	comet_Datagram datagram = {
 		.which_body = comet_Datagram_news_tag,
 		.body.news =
--- a/libcometspindle/adapters/gateway/gateway_resync.c
+++ b/libcometspindle/adapters/gateway/gateway_resync.c
@@ -8,7 +8,8 @@
 #include <string.h>
 
 /* Grace before a resync from a peer: this VM's watch usually delivers the same change. It is longer
- * while the directory answers, so that hundreds of VMs that start together do not query each other.
+ * while the directory responds, so that hundreds of VMs that start together do not query each
+ * other.
  */
 #define STALE_GRACE_US 400000
 #define STALE_GRACE_ANSWERED_US 1500000
@@ -17,10 +18,10 @@
  * calls of hundreds of VMs that start together, and snapshots would fill their links. */
 #define PROGRESS_US 1000000
 
-/* Grace for an answer that is arriving from the directory: a snapshot would share its link. */
+/* Grace for a response that is arriving from the directory: a snapshot would share its link. */
 #define ARRIVING_US 5000000
 
-/* Until a peer's answer begins: a connect and a round trip on a busy narrow link. */
+/* Until a peer's response begins: a connect and a round trip on a busy narrow link. */
 #define RESYNC_TIMEOUT_US 1000000
 
 /* Time for a reader to report that it holds a document before the directory is read, and backoff
@@ -29,20 +30,20 @@
 
 #define STATUS_OK 200
 
-/* Applies the answer of a peer. @return false if the request failed or the answer is malformed. */
+/* Applies the response of a peer. @return false if the request failed or it is malformed. */
 static bool
-apply_answer(struct comet_gateway *gateway, const struct comet_fetch_response *answer)
+apply_response(struct comet_gateway *gateway, const struct comet_fetch_response *response)
 {
 	GError *error = NULL;
 
-	if (answer->failure != NULL || answer->status != STATUS_OK)
+	if (response->failure != NULL || response->status != STATUS_OK)
 	{
 		comet_log(COMET_LOG_NOTICE, "event=resync_failed reason=%s status=%u",
-			answer->failure != NULL ? answer->failure : "status", answer->status);
+			response->failure != NULL ? response->failure : "status", response->status);
 		return false;
 	}
 	if (gateway->directory->ops->offer(
-		    gateway->directory, answer->body, answer->length, &error))
+		    gateway->directory, response->body, response->length, &error))
 		return true;
 	comet_log(COMET_LOG_WARNING, "event=resync_rejected error=\"%s\"", error->message);
 	g_clear_error(&error);
@@ -50,24 +51,24 @@
 }
 
 static void
-on_resync(void *ctx, const struct comet_fetch_response *answer)
+on_resync(void *ctx, const struct comet_fetch_response *response)
 {
 	struct comet_gateway *gateway = ctx;
 
 	gateway->resyncing = NULL; /* the fetch frees itself after this handler */
-	if (!apply_answer(gateway, answer))
+	if (!apply_response(gateway, response))
 		comet_reader_election_failed(gateway->reader_election, comet_timers_now_us());
 	comet_gateway_fetch_document(gateway, comet_timers_now_us());
 }
 
 static void
-on_document(void *ctx, const struct comet_fetch_response *answer)
+on_document(void *ctx, const struct comet_fetch_response *response)
 {
 	struct comet_gateway *gateway = ctx;
 	const struct comet_directory_ops *ops = gateway->directory->ops;
 
 	gateway->fetching_document = NULL; /* the fetch frees itself after this handler */
-	if (apply_answer(gateway, answer) && ops->missing_document(gateway->directory) == 0)
+	if (apply_response(gateway, response) && ops->missing_document(gateway->directory) == 0)
 		return;
 	gateway->document_failed_us = comet_timers_now_us();
 	ops->read_document(gateway->directory);
--- a/libcometspindle/gateway/directory.h
+++ b/libcometspindle/gateway/directory.h
@@ -90,7 +90,7 @@
 	void (*epoch)(void *ctx, uint64_t epoch, uint64_t before);
 	/** A call has ended; reported for each call. */
 	void (*called)(void *ctx, enum comet_directory_call call);
-	/** The directory has answered a call; reported for each answer. */
+	/** The directory has responded to a call; reported for each response. */
 	void (*answered)(void *ctx);
 	/** The directory answers again (there) or has stopped answering. */
 	void (*dependency)(void *ctx, bool there, const char *why);
@@ -117,7 +117,7 @@
 	/** Restarts a watch that has waited for this long while peers reported changes. @return
 	 * whether there was one. */
 	bool (*restart_stale_watch)(struct comet_directory *directory, uint64_t for_us);
-	/** @return whether an answer is being received. */
+	/** @return whether a response is being received. */
 	bool (*is_arriving)(const struct comet_directory *directory);
 	/** Changes how the directory is read. */
 	void (*set_mode)(struct comet_directory *directory, enum comet_directory_mode mode);
--- a/libcometspindle/gateway/fleet/reader_election.h
+++ b/libcometspindle/gateway/fleet/reader_election.h
@@ -37,7 +37,7 @@
 
 struct comet_reader_election;
 
-/** followed_us: time for which a report is fresh after the directory's answer. seed: seeds the
+/** followed_us: time for which a report is fresh after the directory's response. seed: seeds the
  * jitter and must differ between VMs. */
 struct comet_reader_election *
 comet_reader_election_create(void *parent, uint64_t followed_us, uint64_t seed);
