--- a/libcometspindle/adapters/gateway/gateway.c
+++ b/libcometspindle/adapters/gateway/gateway.c
@@ -132,9 +132,9 @@
 	gateway->stopped = true;
 }
 
-/* Returns whether this process is still discovering other VMs. A VM that has heard from none of the
- * known VMs keeps discovering, since its seeds may only be late: when it took itself for the only
- * VM, it spent the whole limit of each team alone. */
+/* Returns whether this process is still discovering other VMs. A VM that has received no gossip
+ * message from any known VM keeps discovering, since its seeds may only be late: when it took
+ * itself for the only VM, it spent the complete limit of each team alone. */
 static bool
 is_discovering(struct comet_gateway *gateway, uint32_t heard, uint32_t known, uint64_t now_us)
 {
--- a/libcometspindle/adapters/gateway/gateway_answer.c
+++ b/libcometspindle/adapters/gateway/gateway_answer.c
@@ -296,8 +296,8 @@
 		return;
 	}
 	relay->may_have_run = true;
-	/* An endpoint that was tried already would fail again, so without an untried endpoint the
-	 * error response is forwarded. */
+	/* An endpoint that was already tried would fail again, so the error response is forwarded
+	 * if no untried endpoint is left. */
 	if (server_error && !relay->response_started && comet_route_is_retryable(relay->route) &&
 		comet_placement_has_untried(relay->gateway->placement, &relay->item) &&
 		comet_proxy_request_may_retry(relay))
--- a/libcometspindle/adapters/gateway/gateway_grants.c
+++ b/libcometspindle/adapters/gateway/gateway_grants.c
@@ -10,7 +10,7 @@
 #define SLOT_REQUEST_TICK_US 10000
 
 /* The owner of a shard is looked up again after this time, as often as the gateway checks for VMs
- * that have gone silent. */
+ * that have become unreachable. */
 #define OWNER_RECHECK_US 50000
 
 static void
@@ -39,9 +39,9 @@
 	return comet_grants_is_unresponsive(query->grants, vm, query->now_us);
 }
 
-/* Returns the owner of a shard; 0 if there is none, or if no VM is to be asked. A VM that has died
- * stays the owner for seconds, until its gossip expires; meanwhile the VM that ranks next is asked.
- */
+/* Returns the owner of a shard; 0 if there is none, or if the settings disable slot requests. A
+ * VM that has died stays the owner for seconds, until its gossip expires; meanwhile the slot
+ * requests are sent to the VM that ranks next. */
 static uint32_t
 get_shard_owner(const struct comet_gateway *gateway, struct comet_shard *shard, uint64_t now_us)
 {
--- a/libcometspindle/adapters/gateway/gateway_quota.c
+++ b/libcometspindle/adapters/gateway/gateway_quota.c
@@ -16,8 +16,8 @@
 #define DISCOVERY_WAIT_US 400000
 #define DISCOVERY_RETRY_US 50000
 
-/* Number of owners that are asked to charge one request: one that may be down, and the VM that
- * ranks next. */
+/* Number of VMs that receive a quota request for one proxy request: an owner that may be down, and
+ * the VM that ranks next. */
 #define QUOTA_OWNERS_MAX 2
 
 static void
@@ -46,8 +46,8 @@
 	return comet_quota_requests_is_unresponsive(query->charges, vm, query->now_us);
 }
 
-/* Returns the owner of a team's quota, which may be this VM; 0 if no VM is to be asked or none is
- * responsive. */
+/* Returns the owner of a team's quota, which may be this VM; 0 if the settings disable quota
+ * requests or no VM is responsive. */
 static uint32_t
 get_quota_owner(const struct comet_gateway *gateway, uint32_t team_id, uint64_t now_us)
 {
--- a/libcometspindle/gateway/admission/rate_limiter.c
+++ b/libcometspindle/gateway/admission/rate_limiter.c
@@ -198,7 +198,7 @@
 };
 
 /* Scales past spending after a limit was lowered. It was permitted under the higher limit; without
- * scaling the team would be blocked for a whole window. */
+ * scaling, the team would be blocked for a full window. */
 static void
 scale_spent(struct quota *quota, double factor)
 {
@@ -218,7 +218,8 @@
 	const struct comet_rate_limiter_config *config = &rate_limiter->config;
 	struct quota *quota = find_quota(rate_limiter, team->id);
 	double limit = (double)team->rate_per_s * config->window_ms / 1000 + (double)team->burst;
-	/* The slack is in tokens, so limits in requests only get the overage. */
+	/* The slack is an amount of tokens, so a limit in requests is exceeded by the overage only.
+	 */
 	double excess = config->overage * limit + (team->in_tokens ? config->slack : 0);
 	bool is_new = quota == NULL;
 
@@ -382,7 +383,7 @@
 {
 	if (quota->limit <= 0)
 		return 0;
-	/* A request larger than the limit is admitted when the whole limit is free. */
+	/* A request larger than the limit is admitted when nothing of the limit is spent. */
 	double needed = (double)amount + compute_reserve(rate_limiter, quota, rank, (double)amount);
 	needed = MIN(needed, alive_share(rate_limiter) * quota->limit);
 	if (remaining(rate_limiter, quota, source) >= needed ||
--- a/libcometspindle/gateway/placement/grants.c
+++ b/libcometspindle/gateway/placement/grants.c
@@ -231,7 +231,8 @@
 	}
 }
 
-/* Ends a slot request that the owner left unanswered, or that waited there for its whole time. */
+/* Ends a slot request that the owner did not answer in time, or whose wait time at the owner has
+ * expired. */
 static void
 handle_timeout(
 	struct comet_grants *grants, const struct pending_slot_request *request, uint64_t now_us)
--- a/libcometspindle/gateway/placement/placement.c
+++ b/libcometspindle/gateway/placement/placement.c
@@ -25,8 +25,9 @@
 /* Fraction by which Retry-After times vary at random. */
 #define RETRY_JITTER 0.25
 
-/* Mean time before an owner that denied a slot is asked again, varied at random by half. While
- * requests wait at many VMs, the owner then receives a slot request every few milliseconds. */
+/* Mean time before another slot request is sent to an owner that denied one, varied at random by
+ * half. While requests wait at many VMs, the owner then receives a slot request every few
+ * milliseconds. */
 #define DENIED_BACKOFF_US 100000
 
 /* Retry-After time while all zones of a service are evacuated. An evacuation takes several seconds
