--- a/libcometspindle/adapters/gateway/gateway.c
+++ b/libcometspindle/adapters/gateway/gateway.c
@@ -59,11 +59,11 @@
  * shows that the process did not run. */
 #define PAUSE_MIN_US 400000
 
-/* After a pause, input is handled for this time before timers fire, so that an answer that has
+/* After a pause, input is handled for this time before timers fire, so that a response that has
  * arrived precedes its deadline. Reading all connections of a busy VM takes a few milliseconds. */
 #define CATCH_UP_US 20000
 
-/* Bounds of the time for which a directory reader is followed after its last answer: it covers
+/* Bounds of the time for which a directory reader is followed after its last response: it covers
  * several calls of the reader, and is shorter than a change may take to be in force. */
 #define READER_TIMEOUT_MIN_MS 500
 #define READER_TIMEOUT_MAX_MS 2000
@@ -87,7 +87,7 @@
 		comet_grants_receive(gateway->grants, &datagram);
 	else if (datagram.which_body == comet_Datagram_view_tag &&
 		 !comet_gossip_receive(gateway->gossip, &datagram.body.view, now_us))
-		comet_log(COMET_LOG_WARNING, "event=view_malformed bytes=%zu", length);
+		comet_log(COMET_LOG_WARNING, "event=gossip_message_malformed bytes=%zu", length);
 }
 
 static void
@@ -132,9 +132,9 @@
 	gateway->stopped = true;
 }
 
-/* Returns whether this process is still discovering other VMs. A VM that has heard from none of the
- * known VMs keeps discovering, since its seeds may only be late: when it took itself for the only
- * VM, it spent the whole limit of each team alone. */
+/* Returns whether this process is still discovering other VMs. A VM that has received no gossip
+ * message from any known VM keeps discovering, since its seeds may only be late: when it took
+ * itself for the only VM, it spent the complete limit of each team alone. */
 static bool
 is_discovering(struct comet_gateway *gateway, uint32_t heard, uint32_t known, uint64_t now_us)
 {
--- a/libcometspindle/gateway/directory.h
+++ b/libcometspindle/gateway/directory.h
@@ -74,7 +74,7 @@
 	void (*instance)(void *ctx, const struct comet_instance_record *record);
 	/** An endpoint is no longer listed. outage_us: when the directory was last known to be
 	 * down, if the endpoint may come back after that outage. The outage may have lasted longer.
-	 * 0: the endpoint is gone. */
+	 * 0: it is not expected back. */
 	void (*instance_gone)(void *ctx, const char *id, uint64_t outage_us);
 	/** An availability zone was evacuated: its endpoints receive no new requests. */
 	void (*evacuated)(void *ctx, const char *zone);
@@ -90,7 +90,7 @@
 	void (*epoch)(void *ctx, uint64_t epoch, uint64_t before);
 	/** A call has ended; reported for each call. */
 	void (*called)(void *ctx, enum comet_directory_call call);
-	/** The directory has answered a call; reported for each answer. */
+	/** The directory has responded to a call; reported for each response. */
 	void (*answered)(void *ctx);
 	/** The directory answers again (there) or has stopped answering. */
 	void (*dependency)(void *ctx, bool there, const char *why);
@@ -117,7 +117,7 @@
 	/** Restarts a watch that has waited for this long while peers reported changes. @return
 	 * whether there was one. */
 	bool (*restart_stale_watch)(struct comet_directory *directory, uint64_t for_us);
-	/** @return whether an answer is being received. */
+	/** @return whether a response is being received. */
 	bool (*is_arriving)(const struct comet_directory *directory);
 	/** Changes how the directory is read. */
 	void (*set_mode)(struct comet_directory *directory, enum comet_directory_mode mode);
