--- a/libcometspindle/scheduler/policy.c
+++ b/libcometspindle/scheduler/policy.c
@@ -1,6 +1,6 @@
 /*
  * policy.c
- * routing policies behind one vtable: ours and the baselines it is measured against
+ * routing policies behind one vtable: the scheduler policy and the baselines for comparison
  */
 #include <libcometspindle/scheduler/policy.h>
 
@@ -8,11 +8,11 @@
 #include <string.h>
 #include <talloc.h>
 
-/* Bounded load: no endpoint may hold more than this part of the mean. */
-#define BOUND_PERCENT 125
+/* Upper bound on the load of an endpoint, as a percentage of the mean load. */
+#define MAX_LOAD_PERCENT 125
 
 static uint64_t
-draw(struct comet_policy *policy, uint64_t bound)
+random_below(struct comet_policy *policy, uint64_t bound)
 {
 	policy->random_state =
 		comet_hash_bytes(&policy->random_state, sizeof policy->random_state, 1);
@@ -25,7 +25,7 @@
 {
 	(void)candidates;
 	(void)prefix;
-	return draw(policy, count);
+	return random_below(policy, count);
 }
 
 static size_t
@@ -41,7 +41,7 @@
 choose_least_reported(struct comet_policy *policy, const struct comet_candidate *candidates,
 	size_t count, const struct comet_prefix *prefix)
 {
-	size_t best = draw(policy, count);
+	size_t best = random_below(policy, count);
 
 	(void)prefix;
 	for (size_t i = 0; i < count; i++)
@@ -53,29 +53,30 @@
 }
 
 static uint32_t
-known_load(const struct comet_candidate *candidate)
+estimated_load(const struct comet_candidate *candidate)
 {
 	return candidate->reported_load > candidate->own_load ? candidate->reported_load
 							      : candidate->own_load;
 }
 
 static size_t
-choose_two(struct comet_policy *policy, const struct comet_candidate *candidates, size_t count,
-	const struct comet_prefix *prefix)
+choose_two_random(struct comet_policy *policy, const struct comet_candidate *candidates,
+	size_t count, const struct comet_prefix *prefix)
 {
-	size_t first = draw(policy, count);
-	size_t second = draw(policy, count);
+	size_t first = random_below(policy, count);
+	size_t second = random_below(policy, count);
 
 	(void)prefix;
-	return known_load(&candidates[first]) <= known_load(&candidates[second]) ? first : second;
+	return estimated_load(&candidates[first]) <= estimated_load(&candidates[second]) ? first
+											 : second;
 }
 
-/* Rendezvous on the prompt's first blocks; endpoints above the bound are passed over. */
+/* Rendezvous hashing on the first prompt blocks, skipping endpoints at or above the load bound. */
 static size_t
 choose_prefix_hash(struct comet_policy *policy, const struct comet_candidate *candidates,
 	size_t count, const struct comet_prefix *prefix)
 {
-	uint64_t key = draw(policy, UINT64_MAX);
+	uint64_t key = random_below(policy, UINT64_MAX);
 	uint64_t total = 0;
 	size_t best = 0;
 	uint64_t best_score = 0;
@@ -83,12 +84,12 @@
 	if (prefix->count > 0)
 		key = prefix->hash[prefix->count > 3 ? 3 : prefix->count - 1];
 	for (size_t i = 0; i < count; i++)
-		total += known_load(&candidates[i]);
+		total += estimated_load(&candidates[i]);
 	for (size_t i = 0; i < count; i++)
 	{
 		uint64_t score = comet_hash_score(key, candidates[i].endpoint_id);
-		uint64_t bound = (total + 1) * BOUND_PERCENT / (100 * count) + 1;
-		if (known_load(&candidates[i]) < bound && score >= best_score)
+		uint64_t bound = (total + 1) * MAX_LOAD_PERCENT / (100 * count) + 1;
+		if (estimated_load(&candidates[i]) < bound && score >= best_score)
 		{
 			best = i;
 			best_score = score;
@@ -102,7 +103,7 @@
 	{"random", false, false, choose_random},
 	{"round-robin", false, false, choose_round_robin},
 	{"least-reported-load", false, true, choose_least_reported},
-	{"two-choices", false, true, choose_two},
+	{"two-choices", false, true, choose_two_random},
 	{"prefix-hash", false, true, choose_prefix_hash},
 };
 
