--- a/libcometspindle/scheduler/scheduler.c
+++ b/libcometspindle/scheduler/scheduler.c
@@ -1,35 +1,35 @@
 /*
  * scheduler.c
- * one shard of a pool: asks wait here in tier order and are granted endpoints
+ * scheduler of one pool shard: queues slot requests and grants endpoints in tier order
  */
 #include <libcometspindle/scheduler/scheduler_private.h>
 
 #include <string.h>
 
-/* Asks tried after an event, and on a tick: bounds the cost of a decision whatever waits. */
-#define EVENT_TRIES 4
-#define TICK_TRIES 96
-/* In one round over the teams of a tier, each may be tried so often. */
-#define TRIES_PER_TEAM 3
-/* An ask this near its deadline is looked at even where nothing has room. */
-#define LATE_MARGIN_US 1000000ULL
-/* The sample that groups prompts: their first 128 tokens. */
-#define AFFINITY_SAMPLE 5
-/* Hashes last used at an endpoint that are looked up in the groups. */
-#define AFFINITY_RECENT 48
-/* Grants by affinity in a row before the team's most urgent ask gets its turn. */
-#define AFFINITY_STREAK 12
-/* Teams looked at, and how far (tokens by weight) one may be ahead of the first. */
-#define AFFINITY_TEAMS 5
-#define AFFINITY_AHEAD 12000
+/* Slot requests evaluated per event and per tick; bounds the cost with any queue length. */
+#define EVENT_EVALUATIONS 4
+#define TICK_EVALUATIONS 96
+/* Slot requests of one team evaluated in one round over the teams of a tier. */
+#define EVALUATIONS_PER_TEAM 3
+/* A slot request this close to its deadline is evaluated even if no endpoint has room. */
+#define DEADLINE_MARGIN_US 1000000ULL
+/* Prompts are grouped by this sample, which covers their first 128 tokens. */
+#define AFFINITY_SAMPLE_INDEX 5
+/* Number of the most recently used hashes of an endpoint that are looked up in the groups. */
+#define AFFINITY_RECENT_HASHES 48
+/* Consecutive affinity grants after which the most urgent request of a team goes first. */
+#define AFFINITY_MAX_CONSECUTIVE 12
+/* Teams searched for affinity, and their maximum lead (weighted tokens) over the first. */
+#define AFFINITY_MAX_TEAMS 5
+#define AFFINITY_MAX_LEAD_TOKENS 12000
 
 static int
 scheduler_destructor(struct comet_scheduler *scheduler)
 {
 	g_hash_table_destroy(scheduler->by_endpoint);
-	g_hash_table_destroy(scheduler->asks);
+	g_hash_table_destroy(scheduler->slot_requests);
 	g_hash_table_destroy(scheduler->grants);
-	g_queue_clear(&scheduler->ask_leases);
+	g_queue_clear(&scheduler->slot_request_leases);
 	g_queue_clear(&scheduler->grant_leases);
 	for (size_t i = 0; i < COMET_TIERS_MAX; i++)
 	{
@@ -53,11 +53,11 @@
 	scheduler->settle_until_us = settle_until_us;
 	scheduler->trust_health = true;
 	scheduler->by_endpoint = g_hash_table_new(g_direct_hash, g_direct_equal);
-	scheduler->asks = g_hash_table_new_full(
+	scheduler->slot_requests = g_hash_table_new_full(
 		comet_scheduler_key_hash, comet_scheduler_key_equal, NULL, g_free);
 	scheduler->grants = g_hash_table_new_full(
 		comet_scheduler_key_hash, comet_scheduler_key_equal, NULL, g_free);
-	g_queue_init(&scheduler->ask_leases);
+	g_queue_init(&scheduler->slot_request_leases);
 	g_queue_init(&scheduler->grant_leases);
 	for (size_t i = 0; i < COMET_TIERS_MAX; i++)
 	{
@@ -78,9 +78,9 @@
 	       comet_bundle_shard_of(bundle, scheduler->pool_id, endpoint->id) == scheduler->shard;
 }
 
-/* Endpoints got new places in the array: the tables that name them follow. */
+/* Rebuilds the tables that refer to endpoints by their array index. */
 static void
-number_endpoints(struct comet_scheduler *scheduler)
+index_endpoints(struct comet_scheduler *scheduler)
 {
 	talloc_free(scheduler->prefixes);
 	talloc_free(scheduler->cached);
@@ -121,11 +121,11 @@
 	talloc_free(scheduler->endpoints);
 	scheduler->endpoints = endpoints;
 	scheduler->n_endpoints = count;
-	number_endpoints(scheduler);
+	index_endpoints(scheduler);
 	comet_bundle_ref(bundle);
 	comet_bundle_unref(scheduler->bundle);
 	scheduler->bundle = bundle;
-	comet_scheduler_note_speeds(scheduler);
+	comet_scheduler_update_speeds(scheduler);
 }
 
 void
@@ -135,103 +135,105 @@
 }
 
 static void
-grant_ask(struct comet_scheduler *scheduler, struct ask *ask, const struct comet_work *work,
-	const struct choice *choice, uint64_t now_us)
+grant_slot(struct comet_scheduler *scheduler, struct slot_request *slot_request,
+	const struct comet_work *work, const struct choice *choice, uint64_t now_us)
 {
-	uint64_t holder = ask->key.holder;
+	uint64_t vm_id = slot_request->key.vm_id;
 	comet_Grant message = {
-		.request = ask->key.request,
-		.endpoint = choice->free->id,
-		.cached_tokens = choice->free_cost.cached_tokens,
-		.cost_us = (uint32_t)MIN(choice->free_cost.total_us, UINT32_MAX),
+		.request = slot_request->key.request,
+		.endpoint = choice->available->id,
+		.cached_tokens = choice->available_cost.cached_tokens,
+		.cost_us = (uint32_t)MIN(choice->available_cost.total_us, UINT32_MAX),
 	};
 
-	if (choice->free->config->leaving)
+	if (choice->available->config->leaving)
 		comet_violation("leaving_endpoint", "endpoint=%s request=%016" PRIx64,
-			choice->free->config->name, ask->key.request);
-	comet_scheduler_log_grant(scheduler, ask, choice, now_us);
-	comet_endpoint_start(choice->free, work, choice->free_cost.cached_tokens, now_us);
-	comet_scheduler_grant_add(
-		scheduler, &ask->key, choice->free->id, ask->message.tier, now_us);
-	comet_scheduler_charge(scheduler, ask,
-		work->prompt_tokens - choice->free_cost.cached_tokens + work->output_tokens);
-	comet_scheduler_dequeue(scheduler, ask);
+			choice->available->config->name, slot_request->key.request);
+	comet_scheduler_log_grant(scheduler, slot_request, choice, now_us);
+	comet_endpoint_start(choice->available, work, choice->available_cost.cached_tokens, now_us);
+	comet_scheduler_grant_add(scheduler, &slot_request->key, choice->available->id,
+		slot_request->message.tier, now_us);
+	comet_scheduler_charge(scheduler, slot_request,
+		work->prompt_tokens - choice->available_cost.cached_tokens + work->output_tokens);
+	comet_scheduler_dequeue(scheduler, slot_request);
 	scheduler->granted++;
-	scheduler->ops->grant(scheduler->ctx, holder, &message);
+	scheduler->ops->grant(scheduler->ctx, vm_id, &message);
 }
 
 static void
-decline_ask(struct comet_scheduler *scheduler, struct ask *ask, const struct choice *choice,
-	uint64_t now_us)
+decline_slot_request(struct comet_scheduler *scheduler, struct slot_request *slot_request,
+	const struct choice *choice, uint64_t now_us)
 {
-	struct request_key key = ask->key;
+	struct request_key key = slot_request->key;
 
 	comet_log(COMET_LOG_INFO,
 		"event=decline request=%08x.%012" PRIx64 " tier=%u slack_us=%" PRId64
 		" fastest_us=%" PRIu64 " reason=cannot_finish_in_time",
-		(uint32_t)key.holder, key.request, ask->message.tier,
-		(int64_t)(ask->deadline_us - now_us), choice->fastest_us);
-	comet_scheduler_dequeue(scheduler, ask);
+		(uint32_t)key.vm_id, key.request, slot_request->message.tier,
+		(int64_t)(slot_request->deadline_us - now_us), choice->fastest_us);
+	comet_scheduler_dequeue(scheduler, slot_request);
 	scheduler->declined++;
-	scheduler->ops->decline(scheduler->ctx, key.holder, key.request);
+	scheduler->ops->decline(scheduler->ctx, key.vm_id, key.request);
 }
 
-enum tried
+enum pass_result
 {
-	TRIED_GRANTED, /* or declined: the queues changed */
-	TRIED_WAITS,   /* better to wait for another endpoint */
-	TRIED_NO_ROOM, /* nothing has room for this tier */
+	PASS_DECIDED,  /* granted or declined, so the queues changed */
+	PASS_DEFERRED, /* waiting for a full endpoint is better */
+	PASS_NO_ROOM,  /* no endpoint has room, or no evaluations are left */
 };
 
-static enum tried
-try_ask(struct comet_scheduler *scheduler, struct ask *ask, uint64_t now_us)
+static enum pass_result
+evaluate_slot_request(
+	struct comet_scheduler *scheduler, struct slot_request *slot_request, uint64_t now_us)
 {
 	struct comet_work work;
 	struct choice choice;
 
-	comet_scheduler_work(ask, &work);
-	comet_scheduler_choose(scheduler, ask, &work, now_us, &choice);
-	bool late = ask->deadline_us <= now_us;
-	if (late || now_us + choice.fastest_us > ask->deadline_us)
+	comet_scheduler_fill_work(slot_request, &work);
+	comet_scheduler_choose(scheduler, slot_request, &work, now_us, &choice);
+	bool late = slot_request->deadline_us <= now_us;
+	if (late || now_us + choice.fastest_us > slot_request->deadline_us)
 	{
-		decline_ask(scheduler, ask, &choice, now_us);
-		return TRIED_GRANTED;
+		decline_slot_request(scheduler, slot_request, &choice, now_us);
+		return PASS_DECIDED;
 	}
-	if (!choice.room)
-		return TRIED_NO_ROOM;
-	if (comet_scheduler_better_to_wait(&choice, ask, now_us))
-		return TRIED_WAITS;
-	ask->team->streak = 0;
-	grant_ask(scheduler, ask, &work, &choice, now_us);
-	return TRIED_GRANTED;
+	if (!choice.has_room)
+		return PASS_NO_ROOM;
+	if (comet_scheduler_better_to_wait(&choice, slot_request, now_us))
+		return PASS_DEFERRED;
+	slot_request->team->affinity_grants = 0;
+	grant_slot(scheduler, slot_request, &work, &choice, now_us);
+	return PASS_DECIDED;
 }
 
-static enum tried
-try_team(struct comet_scheduler *scheduler, struct team_queue *team, uint64_t now_us)
+static enum pass_result
+evaluate_team(struct comet_scheduler *scheduler, struct team_queue *team, uint64_t now_us)
 {
-	GSequenceIter *spot = g_sequence_get_begin_iter(team->asks);
+	GSequenceIter *position = g_sequence_get_begin_iter(team->slot_requests);
 
-	for (int i = 0; i < TRIES_PER_TEAM && !g_sequence_iter_is_end(spot); i++)
+	for (int i = 0; i < EVALUATIONS_PER_TEAM && !g_sequence_iter_is_end(position); i++)
 	{
-		GSequenceIter *next = g_sequence_iter_next(spot);
-		if (scheduler->tries_left == 0)
-			return TRIED_NO_ROOM;
-		scheduler->tries_left--;
-		enum tried tried = try_ask(scheduler, g_sequence_get(spot), now_us);
-		if (tried != TRIED_WAITS)
-			return tried;
-		spot = next;
+		GSequenceIter *next = g_sequence_iter_next(position);
+		if (scheduler->evaluations_left == 0)
+			return PASS_NO_ROOM;
+		scheduler->evaluations_left--;
+		enum pass_result result =
+			evaluate_slot_request(scheduler, g_sequence_get(position), now_us);
+		if (result != PASS_DEFERRED)
+			return result;
+		position = next;
 	}
-	return TRIED_WAITS;
+	return PASS_DEFERRED;
 }
 
-/* The most urgent of the team's asks whose prompts begin with what the endpoint holds. */
-static struct ask *
+/* Returns the team's most urgent slot request whose prompt prefix the endpoint has cached. */
+static struct slot_request *
 find_by_affinity(struct team_queue *team, const struct comet_endpoint_state *endpoint)
 {
-	struct ask *best = NULL;
+	struct slot_request *best = NULL;
 
-	for (uint32_t i = 0; i < AFFINITY_RECENT; i++)
+	for (uint32_t i = 0; i < AFFINITY_RECENT_HASHES; i++)
 	{
 		uint32_t hash = comet_prefix_index_recent(endpoint->prefixes, i);
 		GSequence *group =
@@ -241,9 +243,10 @@
 			break;
 		if (group == NULL)
 			continue;
-		struct ask *ask = g_sequence_get(g_sequence_get_begin_iter(group));
-		if (best == NULL || ask->deadline_us < best->deadline_us)
-			best = ask;
+		struct slot_request *slot_request =
+			g_sequence_get(g_sequence_get_begin_iter(group));
+		if (best == NULL || slot_request->deadline_us < best->deadline_us)
+			best = slot_request;
 	}
 	return best;
 }
@@ -258,79 +261,80 @@
 	return tier;
 }
 
-/* Looks at the teams in turn, as far as they are not ahead of the first by more than a little. */
-static struct ask *
+/* Searches the least served teams, up to AFFINITY_MAX_LEAD_TOKENS ahead of the first team. */
+static struct slot_request *
 find_in_tier(struct tier_queue *queue, const struct comet_endpoint_state *endpoint)
 {
-	GSequenceIter *spot = g_sequence_get_begin_iter(queue->order);
-	double first = ((struct team_queue *)g_sequence_get(spot))->served;
+	GSequenceIter *position = g_sequence_get_begin_iter(queue->order);
+	double first = ((struct team_queue *)g_sequence_get(position))->weighted_tokens;
 
-	for (int i = 0; i < AFFINITY_TEAMS && !g_sequence_iter_is_end(spot); i++)
+	for (int i = 0; i < AFFINITY_MAX_TEAMS && !g_sequence_iter_is_end(position); i++)
 	{
-		struct team_queue *team = g_sequence_get(spot);
-		struct ask *ask = NULL;
-		if (team->served > first + AFFINITY_AHEAD)
+		struct team_queue *team = g_sequence_get(position);
+		struct slot_request *slot_request = NULL;
+		if (team->weighted_tokens > first + AFFINITY_MAX_LEAD_TOKENS)
 			return NULL;
-		if (team->streak < AFFINITY_STREAK)
-			ask = find_by_affinity(team, endpoint);
-		if (ask != NULL)
-			return ask;
-		spot = g_sequence_iter_next(spot);
+		if (team->affinity_grants < AFFINITY_MAX_CONSECUTIVE)
+			slot_request = find_by_affinity(team, endpoint);
+		if (slot_request != NULL)
+			return slot_request;
+		position = g_sequence_iter_next(position);
 	}
 	return NULL;
 }
 
 /*
- * An endpoint became free: under pressure it had better take a prompt that it
- * holds the beginning of than the most urgent one, now and then at least.
+ * Gives a freed slot to a request whose prompt prefix the endpoint has cached, in
+ * preference to the most urgent one. AFFINITY_MAX_CONSECUTIVE limits the preference.
  */
 static void
-try_affinity(
+grant_by_affinity(
 	struct comet_scheduler *scheduler, struct comet_endpoint_state *endpoint, uint64_t now_us)
 {
 	uint32_t tier = first_waiting_tier(scheduler);
-	struct choice choice = {.free = endpoint, .room = true, .by_affinity = true};
+	struct choice choice = {.available = endpoint, .has_room = true, .by_affinity = true};
 	struct comet_work work;
 
 	if (now_us < scheduler->settle_until_us || endpoint->health != COMET_HEALTH_OK)
 		return;
 	if (tier == 0 || tier == scheduler->bundle->n_tiers)
-		return; /* the top tier goes strictly by deadline */
+		return; /* the top tier is served strictly by deadline */
 	if (!comet_endpoint_has_room(
 		    endpoint, scheduler->bundle->tiers[tier].share_percent, true, now_us))
 		return;
-	struct ask *ask = find_in_tier(&scheduler->tiers[tier], endpoint);
-	if (ask == NULL || ask->message.avoid == endpoint->id)
+	struct slot_request *slot_request = find_in_tier(&scheduler->tiers[tier], endpoint);
+	if (slot_request == NULL || slot_request->message.avoid == endpoint->id)
 		return;
-	comet_scheduler_work(ask, &work);
+	comet_scheduler_fill_work(slot_request, &work);
 	comet_prefix_map_match(scheduler->prefixes, work.prefix, scheduler->cached);
 	comet_endpoint_cost(endpoint, &work, scheduler->cached[endpoint - scheduler->endpoints],
-		scheduler->bundle->limits.reuse_weight, &choice.free_cost);
-	if (now_us + choice.free_cost.finish_us > ask->deadline_us)
+		scheduler->bundle->limits.reuse_weight, &choice.available_cost);
+	if (now_us + choice.available_cost.finish_us > slot_request->deadline_us)
 		return;
-	ask->team->streak++;
-	grant_ask(scheduler, ask, &work, &choice, now_us);
+	slot_request->team->affinity_grants++;
+	grant_slot(scheduler, slot_request, &work, &choice, now_us);
 }
 
-/* One round over the teams of a tier, least served first. */
-static enum tried
-try_tier(struct comet_scheduler *scheduler, struct tier_queue *queue, uint64_t now_us)
+/* Evaluates the teams of a tier once each, least served team first. */
+static enum pass_result
+evaluate_tier(struct comet_scheduler *scheduler, struct tier_queue *queue, uint64_t now_us)
 {
-	GSequenceIter *spot = g_sequence_get_begin_iter(queue->order);
+	GSequenceIter *position = g_sequence_get_begin_iter(queue->order);
 
-	while (!g_sequence_iter_is_end(spot))
+	while (!g_sequence_iter_is_end(position))
 	{
-		GSequenceIter *next = g_sequence_iter_next(spot);
-		enum tried tried = try_team(scheduler, g_sequence_get(spot), now_us);
-		if (tried != TRIED_WAITS)
-			return tried;
-		spot = next;
+		GSequenceIter *next = g_sequence_iter_next(position);
+		enum pass_result result =
+			evaluate_team(scheduler, g_sequence_get(position), now_us);
+		if (result != PASS_DEFERRED)
+			return result;
+		position = next;
 	}
-	return TRIED_WAITS;
+	return PASS_DEFERRED;
 }
 
 static bool
-any_room(const struct comet_scheduler *scheduler, uint32_t tier, uint64_t now_us)
+any_endpoint_has_room(const struct comet_scheduler *scheduler, uint32_t tier, uint64_t now_us)
 {
 	uint32_t share = scheduler->bundle->tiers[tier].share_percent;
 
@@ -343,90 +347,94 @@
 	return false;
 }
 
-/* Grants what can be granted, most urgent tier first. */
+/* Grants waiting slot requests while there is room, most urgent tier first. */
 static void
-run_pass(struct comet_scheduler *scheduler, uint32_t tries, uint64_t now_us)
+grant_waiting(struct comet_scheduler *scheduler, uint32_t evaluations, uint64_t now_us)
 {
 	if (now_us < scheduler->settle_until_us)
 		return;
-	scheduler->tries_left = tries;
+	scheduler->evaluations_left = evaluations;
 	for (uint32_t tier = 0; tier < scheduler->bundle->n_tiers; tier++)
 	{
-		enum tried tried = TRIED_GRANTED;
-		while (tried == TRIED_GRANTED && scheduler->tiers[tier].waiting > 0)
+		enum pass_result result = PASS_DECIDED;
+		while (result == PASS_DECIDED && scheduler->tiers[tier].waiting > 0)
 		{
-			if (!any_room(scheduler, tier, now_us))
-				return; /* lower tiers have smaller shares */
-			tried = try_tier(scheduler, &scheduler->tiers[tier], now_us);
+			if (!any_endpoint_has_room(scheduler, tier, now_us))
+				return; /* less urgent tiers have smaller shares */
+			result = evaluate_tier(scheduler, &scheduler->tiers[tier], now_us);
 		}
-		if (tried == TRIED_NO_ROOM)
+		if (result == PASS_NO_ROOM)
 			return;
 	}
 }
 
-/* Ends asks at the front of each queue that can no longer be done in time. */
+/* Evaluates the first slot request of each team if its deadline is near. */
 static void
-decline_late(struct comet_scheduler *scheduler, uint64_t now_us)
+decline_overdue(struct comet_scheduler *scheduler, uint64_t now_us)
 {
-	struct ask *ask = NULL;
+	struct slot_request *slot_request = NULL;
 
 	for (uint32_t tier = 0; tier < scheduler->bundle->n_tiers; tier++)
 	{
-		GSequenceIter *spot = g_sequence_get_begin_iter(scheduler->tiers[tier].order);
-		while (!g_sequence_iter_is_end(spot))
+		GSequenceIter *position = g_sequence_get_begin_iter(scheduler->tiers[tier].order);
+		while (!g_sequence_iter_is_end(position))
 		{
-			struct team_queue *team = g_sequence_get(spot);
-			spot = g_sequence_iter_next(spot);
-			ask = g_sequence_get(g_sequence_get_begin_iter(team->asks));
-			if (ask->deadline_us <= now_us + LATE_MARGIN_US)
-				try_ask(scheduler, ask, now_us);
+			struct team_queue *team = g_sequence_get(position);
+			position = g_sequence_iter_next(position);
+			slot_request =
+				g_sequence_get(g_sequence_get_begin_iter(team->slot_requests));
+			if (slot_request->deadline_us <= now_us + DEADLINE_MARGIN_US)
+				evaluate_slot_request(scheduler, slot_request, now_us);
 		}
 	}
 }
 
 void
-comet_scheduler_ask(struct comet_scheduler *scheduler, uint64_t holder, const comet_Ask *message,
+comet_scheduler_ask(struct comet_scheduler *scheduler, uint64_t vm_id, const comet_Ask *message,
 	uint64_t now_us)
 {
-	struct request_key key = {holder, message->request};
-	struct ask *ask = g_hash_table_lookup(scheduler->asks, &key);
+	struct request_key key = {vm_id, message->request};
+	struct slot_request *slot_request = g_hash_table_lookup(scheduler->slot_requests, &key);
 
 	if (message->tier >= scheduler->bundle->n_tiers)
 		return;
-	if (ask != NULL)
+	if (slot_request != NULL)
 	{
-		comet_scheduler_lease_renew(&scheduler->ask_leases, ask->lease,
-			&ask->lease_until_us, now_us + ASK_LEASE_US);
+		comet_scheduler_lease_renew(&scheduler->slot_request_leases, slot_request->lease,
+			&slot_request->lease_until_us, now_us + SLOT_REQUEST_LEASE_US);
 		return;
 	}
 	if (g_hash_table_contains(scheduler->grants, &key))
 	{
-		/* the grant crossed with this renewal, or was lost: the holder says which */
+		/* The grant crossed this renewal or was lost; later messages of the VM show which.
+		 */
 		return;
 	}
-	ask = g_new0(struct ask, 1);
-	ask->key = key;
-	ask->message = *message;
-	ask->prefix.count = message->prefix_count;
-	memcpy(ask->prefix.hash, message->prefix, sizeof ask->prefix.hash);
-	if (ask->prefix.count > 0)
-		ask->affinity = ask->prefix.hash[MIN(ask->prefix.count - 1, AFFINITY_SAMPLE)];
-	ask->arrived_us = now_us;
-	ask->deadline_us = now_us + message->slack_ms * 1000ULL;
-	ask->lease_until_us = now_us + ASK_LEASE_US;
-	g_queue_push_tail(&scheduler->ask_leases, ask);
-	ask->lease = scheduler->ask_leases.tail;
-	ask->team = comet_scheduler_team(scheduler, message->tier, message->team);
-	g_hash_table_insert(scheduler->asks, &ask->key, ask);
-	comet_scheduler_enqueue(scheduler, ask);
-	run_pass(scheduler, EVENT_TRIES, now_us);
+	slot_request = g_new0(struct slot_request, 1);
+	slot_request->key = key;
+	slot_request->message = *message;
+	slot_request->prefix.count = message->prefix_count;
+	memcpy(slot_request->prefix.hash, message->prefix, sizeof slot_request->prefix.hash);
+	if (slot_request->prefix.count > 0)
+		slot_request->affinity =
+			slot_request->prefix
+				.hash[MIN(slot_request->prefix.count - 1, AFFINITY_SAMPLE_INDEX)];
+	slot_request->arrived_us = now_us;
+	slot_request->deadline_us = now_us + message->slack_ms * 1000ULL;
+	slot_request->lease_until_us = now_us + SLOT_REQUEST_LEASE_US;
+	g_queue_push_tail(&scheduler->slot_request_leases, slot_request);
+	slot_request->lease = scheduler->slot_request_leases.tail;
+	slot_request->team = comet_scheduler_team(scheduler, message->tier, message->team);
+	g_hash_table_insert(scheduler->slot_requests, &slot_request->key, slot_request);
+	comet_scheduler_enqueue(scheduler, slot_request);
+	grant_waiting(scheduler, EVENT_EVALUATIONS, now_us);
 }
 
 void
-comet_scheduler_running(struct comet_scheduler *scheduler, uint64_t holder,
+comet_scheduler_running(struct comet_scheduler *scheduler, uint64_t vm_id,
 	const comet_Running *message, uint64_t now_us)
 {
-	struct request_key key = {holder, message->request};
+	struct request_key key = {vm_id, message->request};
 	struct grant *grant = g_hash_table_lookup(scheduler->grants, &key);
 	struct comet_endpoint_state *endpoint =
 		comet_scheduler_endpoint(scheduler, message->endpoint);
@@ -447,10 +455,10 @@
 
 void
 comet_scheduler_done(
-	struct comet_scheduler *scheduler, uint64_t holder, const comet_Done *done, uint64_t now_us)
+	struct comet_scheduler *scheduler, uint64_t vm_id, const comet_Done *done, uint64_t now_us)
 {
-	struct request_key key = {holder, done->request};
-	struct ask *ask = g_hash_table_lookup(scheduler->asks, &key);
+	struct request_key key = {vm_id, done->request};
+	struct slot_request *slot_request = g_hash_table_lookup(scheduler->slot_requests, &key);
 	struct grant *grant = g_hash_table_lookup(scheduler->grants, &key);
 	struct comet_sample sample = {
 		.first_token_us = done->first_token_us,
@@ -460,8 +468,8 @@
 		.output_tokens = done->output_tokens,
 	};
 
-	if (ask != NULL)
-		comet_scheduler_dequeue(scheduler, ask);
+	if (slot_request != NULL)
+		comet_scheduler_dequeue(scheduler, slot_request);
 	if (grant != NULL)
 	{
 		struct comet_endpoint_state *endpoint =
@@ -469,9 +477,9 @@
 		comet_scheduler_grant_end(
 			scheduler, grant, (enum comet_outcome)done->outcome, &sample, now_us);
 		if (endpoint != NULL)
-			try_affinity(scheduler, endpoint, now_us);
+			grant_by_affinity(scheduler, endpoint, now_us);
 	}
-	run_pass(scheduler, EVENT_TRIES, now_us);
+	grant_waiting(scheduler, EVENT_EVALUATIONS, now_us);
 }
 
 void
@@ -501,39 +509,39 @@
 static const struct comet_sample no_sample;
 
 void
-comet_scheduler_holder_gone(struct comet_scheduler *scheduler, uint64_t holder, uint64_t now_us)
+comet_scheduler_holder_gone(struct comet_scheduler *scheduler, uint64_t vm_id, uint64_t now_us)
 {
-	GList *link = scheduler->ask_leases.head;
+	GList *link = scheduler->slot_request_leases.head;
 
 	while (link != NULL)
 	{
-		struct ask *ask = link->data;
+		struct slot_request *slot_request = link->data;
 		link = link->next;
-		if (ask->key.holder == holder)
-			comet_scheduler_dequeue(scheduler, ask);
+		if (slot_request->key.vm_id == vm_id)
+			comet_scheduler_dequeue(scheduler, slot_request);
 	}
 	link = scheduler->grant_leases.head;
 	while (link != NULL)
 	{
 		struct grant *grant = link->data;
 		link = link->next;
-		if (grant->key.holder == holder)
+		if (grant->key.vm_id == vm_id)
 			comet_scheduler_grant_end(
 				scheduler, grant, COMET_OUTCOME_RETURNED, &no_sample, now_us);
 	}
-	run_pass(scheduler, EVENT_TRIES, now_us);
+	grant_waiting(scheduler, EVENT_EVALUATIONS, now_us);
 }
 
 void
 comet_scheduler_tick(struct comet_scheduler *scheduler, uint64_t now_us)
 {
-	struct ask *ask = g_queue_peek_head(&scheduler->ask_leases);
+	struct slot_request *slot_request = g_queue_peek_head(&scheduler->slot_request_leases);
 	struct grant *grant = g_queue_peek_head(&scheduler->grant_leases);
 
-	while (ask != NULL && ask->lease_until_us <= now_us)
+	while (slot_request != NULL && slot_request->lease_until_us <= now_us)
 	{
-		comet_scheduler_dequeue(scheduler, ask);
-		ask = g_queue_peek_head(&scheduler->ask_leases);
+		comet_scheduler_dequeue(scheduler, slot_request);
+		slot_request = g_queue_peek_head(&scheduler->slot_request_leases);
 	}
 	while (grant != NULL && grant->lease_until_us <= now_us)
 	{
@@ -541,9 +549,9 @@
 			scheduler, grant, COMET_OUTCOME_RETURNED, &no_sample, now_us);
 		grant = g_queue_peek_head(&scheduler->grant_leases);
 	}
-	comet_scheduler_note_speeds(scheduler);
-	decline_late(scheduler, now_us);
-	run_pass(scheduler, TICK_TRIES, now_us);
+	comet_scheduler_update_speeds(scheduler);
+	decline_overdue(scheduler, now_us);
+	grant_waiting(scheduler, TICK_EVALUATIONS, now_us);
 }
 
 void
--- a/libcometspindle/scheduler/scheduler.h
+++ b/libcometspindle/scheduler/scheduler.h
@@ -1,9 +1,9 @@
 /*
  * scheduler.h
- * one shard of a pool: asks wait here in tier order and are granted endpoints
+ * scheduler of one pool shard: queues slot requests and grants endpoints in tier order
  *
- * Plain state and a clock that is passed in. Asks and grants are leases: a
- * holder renews them, and what is not renewed is dropped.
+ * The scheduler does no I/O and takes the time as a parameter. Slot requests and
+ * grants are leases: the requesting VM renews them, and they expire otherwise.
  */
 #ifndef COMETSPINDLE_SCHEDULER_H
 #define COMETSPINDLE_SCHEDULER_H
@@ -16,16 +16,16 @@
 
 struct comet_scheduler;
 
-/** Where decisions go. */
+/** Callbacks that receive the decisions. */
 struct comet_scheduler_ops
 {
-	/** Tell the holder to dispatch. */
-	void (*grant)(void *ctx, uint64_t holder, const comet_Grant *grant);
-	/** Tell the holder that no endpoint can finish it in time. */
-	void (*decline)(void *ctx, uint64_t holder, uint64_t request);
+	/** Tells the requesting VM to dispatch the request. */
+	void (*grant)(void *ctx, uint64_t vm_id, const comet_Grant *grant);
+	/** Tells the requesting VM that no endpoint can finish the request in time. */
+	void (*decline)(void *ctx, uint64_t vm_id, uint64_t request);
 };
 
-/** Counts for metrics and status. */
+/** Counters for metrics and status. */
 struct comet_scheduler_counts
 {
 	uint32_t waiting[COMET_TIERS_MAX];
@@ -36,49 +36,49 @@
 	uint64_t declined;
 };
 
-/** Creates the scheduler of one shard; nothing is granted before settle_until_us. */
+/** Creates the scheduler of one shard; it grants nothing before settle_until_us. */
 struct comet_scheduler *
 comet_scheduler_create(void *parent, struct comet_bundle *bundle, uint32_t pool_id, uint32_t shard,
 	const struct comet_scheduler_ops *ops, void *ctx, uint64_t settle_until_us);
 
-/** Replaces the context that decisions are reported to. */
+/** Replaces the context pointer of the callbacks. */
 void
 comet_scheduler_set_ctx(struct comet_scheduler *scheduler, void *ctx);
 
-/** Takes over a new bundle: learned state of endpoints that stay is kept. */
+/** Applies a new bundle and keeps the learned state of endpoints that remain. */
 void
 comet_scheduler_set_bundle(struct comet_scheduler *scheduler, struct comet_bundle *bundle);
 
-/** A request asks, or renews its ask. */
+/** Adds a slot request or renews its lease. */
 void
-comet_scheduler_ask(
-	struct comet_scheduler *scheduler, uint64_t holder, const comet_Ask *ask, uint64_t now_us);
+comet_scheduler_ask(struct comet_scheduler *scheduler, uint64_t vm_id, const comet_Ask *message,
+	uint64_t now_us);
 
-/** A granted request still runs: renews the lease, or tells a new scheduler of it. */
+/** Renews the lease of a grant; a new scheduler learns of the running request this way. */
 void
-comet_scheduler_running(struct comet_scheduler *scheduler, uint64_t holder,
+comet_scheduler_running(struct comet_scheduler *scheduler, uint64_t vm_id,
 	const comet_Running *running, uint64_t now_us);
 
-/** A grant or an ask is over. */
+/** Ends a grant or withdraws a slot request. */
 void
-comet_scheduler_done(struct comet_scheduler *scheduler, uint64_t holder, const comet_Done *done,
-	uint64_t now_us);
+comet_scheduler_done(
+	struct comet_scheduler *scheduler, uint64_t vm_id, const comet_Done *done, uint64_t now_us);
 
-/** A stream is slow (step_us) or silent (0). */
+/** Records that a stream is slow (step_us > 0) or silent (step_us == 0). */
 void
 comet_scheduler_slow(
 	struct comet_scheduler *scheduler, uint32_t endpoint_id, uint32_t step_us, uint64_t now_us);
 
-/** A load report of an endpoint. */
+/** Records a load report of an endpoint. */
 void
 comet_scheduler_report(
 	struct comet_scheduler *scheduler, uint32_t endpoint_id, uint32_t total, uint64_t now_us);
 
-/** A VM is dead: its asks and grants are over. */
+/** Drops all slot requests and grants of an unreachable VM. */
 void
-comet_scheduler_holder_gone(struct comet_scheduler *scheduler, uint64_t holder, uint64_t now_us);
+comet_scheduler_holder_gone(struct comet_scheduler *scheduler, uint64_t vm_id, uint64_t now_us);
 
-/** Drops leases that ran out and grants what has room. */
+/** Drops expired leases, declines overdue slot requests and grants waiting ones. */
 void
 comet_scheduler_tick(struct comet_scheduler *scheduler, uint64_t now_us);
 
@@ -86,7 +86,7 @@
 comet_scheduler_count(
 	const struct comet_scheduler *scheduler, struct comet_scheduler_counts *counts);
 
-/** Endpoints of this shard, for reports and status. */
+/** Returns the endpoints of this shard, for reports and status. */
 struct comet_endpoint_state *
 comet_scheduler_endpoints(struct comet_scheduler *scheduler, uint32_t *count);
 
--- a/libcometspindle/scheduler/scheduler_queue.c
+++ b/libcometspindle/scheduler/scheduler_queue.c
@@ -1,6 +1,6 @@
 /*
  * scheduler_queue.c
- * what waits and what was granted: queues in order, groups, leases
+ * queues of slot requests, affinity groups, grants and their leases
  */
 #include <libcometspindle/scheduler/scheduler_private.h>
 
@@ -41,16 +41,16 @@
 	const struct team_queue *right = b;
 
 	(void)unused;
-	int order = compare_double(left->served, right->served);
+	int order = compare_double(left->weighted_tokens, right->weighted_tokens);
 	return order != 0 ? order
 			  : (left->team_id > right->team_id) - (left->team_id < right->team_id);
 }
 
 static gint
-compare_ask(gconstpointer a, gconstpointer b, gpointer unused)
+compare_slot_request(gconstpointer a, gconstpointer b, gpointer unused)
 {
-	const struct ask *left = a;
-	const struct ask *right = b;
+	const struct slot_request *left = a;
+	const struct slot_request *right = b;
 
 	(void)unused;
 	if (left->deadline_us != right->deadline_us)
@@ -59,7 +59,7 @@
 		(left->key.request > right->key.request) - (left->key.request < right->key.request);
 	if (order != 0)
 		return order;
-	return (left->key.holder > right->key.holder) - (left->key.holder < right->key.holder);
+	return (left->key.vm_id > right->key.vm_id) - (left->key.vm_id < right->key.vm_id);
 }
 
 void
@@ -68,11 +68,11 @@
 	struct team_queue *team = data;
 
 	g_hash_table_destroy(team->groups);
-	g_sequence_free(team->asks);
+	g_sequence_free(team->slot_requests);
 	g_free(team);
 }
 
-/* Leases are kept in order of renewal, so that the oldest is found at once. */
+/* The queue is ordered by renewal, so the next lease to expire is always at the head. */
 void
 comet_scheduler_lease_renew(GQueue *leases, GList *link, uint64_t *until_us, uint64_t until)
 {
@@ -92,7 +92,7 @@
 	{
 		team = g_new0(struct team_queue, 1);
 		team->team_id = team_id;
-		team->asks = g_sequence_new(NULL);
+		team->slot_requests = g_sequence_new(NULL);
 		team->groups = g_hash_table_new_full(
 			g_direct_hash, g_direct_equal, NULL, (GDestroyNotify)g_sequence_free);
 		g_hash_table_insert(queue->teams, GUINT_TO_POINTER(team_id), team);
@@ -101,66 +101,70 @@
 	return team;
 }
 
-/* Asks whose prompts begin alike can be taken together by an endpoint that holds that beginning. */
+/* Groups slot requests by prompt prefix, so that an endpoint that cached it can take them. */
 static void
-group_add(struct ask *ask)
+group_add(struct slot_request *slot_request)
 {
-	gpointer key = GUINT_TO_POINTER(ask->affinity);
-	GSequence *group = g_hash_table_lookup(ask->team->groups, key);
+	gpointer key = GUINT_TO_POINTER(slot_request->affinity);
+	GSequence *group = g_hash_table_lookup(slot_request->team->groups, key);
 
-	if (ask->affinity == 0)
+	if (slot_request->affinity == 0)
 		return;
 	if (group == NULL)
 	{
 		group = g_sequence_new(NULL);
-		g_hash_table_insert(ask->team->groups, key, group);
+		g_hash_table_insert(slot_request->team->groups, key, group);
 	}
-	ask->group_spot = g_sequence_insert_sorted(group, ask, compare_ask, NULL);
+	slot_request->group_position =
+		g_sequence_insert_sorted(group, slot_request, compare_slot_request, NULL);
 }
 
 static void
-group_remove(struct ask *ask)
+group_remove(struct slot_request *slot_request)
 {
-	if (ask->affinity == 0)
+	if (slot_request->affinity == 0)
 		return;
-	GSequence *group = g_sequence_iter_get_sequence(ask->group_spot);
-	g_sequence_remove(ask->group_spot);
+	GSequence *group = g_sequence_iter_get_sequence(slot_request->group_position);
+	g_sequence_remove(slot_request->group_position);
 	if (g_sequence_is_empty(group))
-		g_hash_table_remove(ask->team->groups, GUINT_TO_POINTER(ask->affinity));
+		g_hash_table_remove(
+			slot_request->team->groups, GUINT_TO_POINTER(slot_request->affinity));
 }
 
 void
-comet_scheduler_enqueue(struct comet_scheduler *scheduler, struct ask *ask)
+comet_scheduler_enqueue(struct comet_scheduler *scheduler, struct slot_request *slot_request)
 {
-	struct tier_queue *queue = &scheduler->tiers[ask->message.tier];
+	struct tier_queue *queue = &scheduler->tiers[slot_request->message.tier];
 
-	ask->spot = g_sequence_insert_sorted(ask->team->asks, ask, compare_ask, NULL);
-	group_add(ask);
+	slot_request->position = g_sequence_insert_sorted(
+		slot_request->team->slot_requests, slot_request, compare_slot_request, NULL);
+	group_add(slot_request);
 	queue->waiting++;
-	if (ask->team->spot != NULL)
+	if (slot_request->team->position != NULL)
 		return;
-	/* a team that comes back has no credit from the time it asked nothing */
-	if (ask->team->served < queue->floor)
-		ask->team->served = queue->floor;
-	ask->team->spot = g_sequence_insert_sorted(queue->order, ask->team, compare_team, NULL);
+	/* An idle team accumulates no credit. */
+	if (slot_request->team->weighted_tokens < queue->min_weighted_tokens)
+		slot_request->team->weighted_tokens = queue->min_weighted_tokens;
+	slot_request->team->position =
+		g_sequence_insert_sorted(queue->order, slot_request->team, compare_team, NULL);
 }
 
 void
-comet_scheduler_dequeue(struct comet_scheduler *scheduler, struct ask *ask)
+comet_scheduler_dequeue(struct comet_scheduler *scheduler, struct slot_request *slot_request)
 {
-	struct tier_queue *queue = &scheduler->tiers[ask->message.tier];
-	struct team_queue *team = ask->team;
+	struct tier_queue *queue = &scheduler->tiers[slot_request->message.tier];
+	struct team_queue *team = slot_request->team;
 
-	group_remove(ask);
-	g_sequence_remove(ask->spot);
+	group_remove(slot_request);
+	g_sequence_remove(slot_request->position);
 	queue->waiting--;
-	if (g_sequence_is_empty(team->asks))
+	if (g_sequence_is_empty(team->slot_requests))
 	{
-		g_sequence_remove(team->spot);
-		team->spot = NULL;
+		g_sequence_remove(team->position);
+		team->position = NULL;
 	}
-	g_queue_delete_link(&scheduler->ask_leases, ask->lease);
-	g_hash_table_remove(scheduler->asks, &ask->key);
+	g_queue_delete_link(&scheduler->slot_request_leases, slot_request->lease);
+	g_hash_table_remove(scheduler->slot_requests, &slot_request->key);
 }
 
 struct grant *
@@ -197,12 +201,13 @@
 }
 
 void
-comet_scheduler_charge(struct comet_scheduler *scheduler, const struct ask *ask, uint32_t tokens)
+comet_scheduler_charge(
+	struct comet_scheduler *scheduler, const struct slot_request *slot_request, uint32_t tokens)
 {
-	struct tier_queue *queue = &scheduler->tiers[ask->message.tier];
+	struct tier_queue *queue = &scheduler->tiers[slot_request->message.tier];
 
-	queue->floor = ask->team->served;
-	ask->team->served += (double)tokens / ask->team->weight;
-	if (ask->team->spot != NULL)
-		g_sequence_sort_changed(ask->team->spot, compare_team, NULL);
+	queue->min_weighted_tokens = slot_request->team->weighted_tokens;
+	slot_request->team->weighted_tokens += (double)tokens / slot_request->team->weight;
+	if (slot_request->team->position != NULL)
+		g_sequence_sort_changed(slot_request->team->position, compare_team, NULL);
 }
