--- a/tests/unit/fixtures.cc
+++ b/tests/unit/fixtures.cc
@@ -1,13 +1,13 @@
 /*
  * fixtures.cc
- * what several tests are made from
+ * bundle documents shared by several tests
  */
 #include "fixtures.h"
 
 #include <sodium.h>
 
 static std::string
-key_hash(const char *key)
+hex_key_hash(const char *key)
 {
 	uint8_t hash[COMET_KEY_HASH_BYTES];
 	char hex[2 * COMET_KEY_HASH_BYTES + 1];
@@ -26,9 +26,9 @@
 			   "{\"name\":\"normal\",\"deadline_ms\":12000},"
 			   "{\"name\":\"patient\",\"deadline_ms\":30000}],\"teams\":["
 			   "{\"name\":\"a\",\"weight\":1,\"tiers\":" +
-			   tiers + ",\"key_hash\":\"" + key_hash("key-a") +
+			   tiers + ",\"key_hash\":\"" + hex_key_hash("key-a") +
 			   "\"},{\"name\":\"b\",\"tiers\":" + tiers + ",\"key_hash\":\"" +
-			   key_hash("key-b") +
+			   hex_key_hash("key-b") +
 			   "\",\"quota\":{\"tokens_per_s\":1000}}],\"models\":[{\"name\":\"m\"}],"
 			   "\"endpoints\":[";
 
--- a/tests/unit/fixtures.h
+++ b/tests/unit/fixtures.h
@@ -1,6 +1,6 @@
 /*
  * fixtures.h
- * what several tests are made from
+ * bundle documents shared by several tests
  */
 #ifndef COMETSPINDLE_TESTS_FIXTURES_H
 #define COMETSPINDLE_TESTS_FIXTURES_H
@@ -12,10 +12,11 @@
 #include <libcometspindle/bundle.h>
 }
 
-/** A document with teams a and b, four tiers, model m and n endpoints. */
+/** Returns the text of a bundle with teams a and b, four tiers, model m and n endpoints. */
 std::string
 fixture_bundle_text(unsigned int version, unsigned int endpoints);
 
+/** Returns the parsed bundle of fixture_bundle_text(). */
 struct comet_bundle *
 fixture_bundle(unsigned int version, unsigned int endpoints);
 
--- a/tests/unit/sim.cc
+++ b/tests/unit/sim.cc
@@ -1,6 +1,6 @@
 /*
  * sim.cc
- * several nodes in one process under a virtual clock
+ * simulation of several nodes in one process with a virtual clock
  */
 #include "sim.h"
 
@@ -15,7 +15,7 @@
 
 #include "fixtures.h"
 
-/* A message reaches whoever has this id, lives and is not cut off; or it waits for a paused one. */
+/* Delivers a message to an alive and connected VM; a paused VM receives it when it resumes. */
 static void
 deliver(Sim *sim, uint64_t from, uint64_t to, const comet_Packet &packet, GBytes *blob)
 {
@@ -25,11 +25,11 @@
 			continue;
 		if (vm->paused_until > sim->now)
 		{
-			Vm *later = vm.get();
+			Vm *paused = vm.get();
 			sim->after(vm->paused_until - sim->now,
 				[=] {
 					comet_node_receive(
-						later->node, from, &packet, nullptr, sim->time());
+						paused->node, from, &packet, nullptr, sim->time());
 				});
 			continue;
 		}
@@ -51,10 +51,10 @@
 	for (int i = 0; i < copies; i++)
 	{
 		comet_Packet copy = *packet;
-		std::shared_ptr<GBytes> held(blob != nullptr ? g_bytes_ref(blob) : nullptr,
+		std::shared_ptr<GBytes> blob_ref(blob != nullptr ? g_bytes_ref(blob) : nullptr,
 			[](GBytes *bytes) { g_clear_pointer(&bytes, g_bytes_unref); });
 		sim->after(sim->calm ? 1000 : 200 + sim->draw() % 3000,
-			[=] { deliver(sim, from, to, copy, held.get()); });
+			[=] { deliver(sim, from, to, copy, blob_ref.get()); });
 	}
 }
 
@@ -63,25 +63,25 @@
 {
 	Vm *vm = static_cast<Vm *>(ctx);
 	Sim *sim = vm->sim;
-	Fate &fate = sim->fates[request];
-	unsigned int luck = sim->calm ? 99 : sim->draw() % 100;
-	uint64_t takes_us = sim->calm ? 100000 : 20000 + sim->draw() % 400000;
+	RequestOutcome &outcome_record = sim->fates[request];
+	unsigned int percentile = sim->calm ? 99 : sim->draw() % 100;
+	uint64_t service_time_us = sim->calm ? 100000 : 20000 + sim->draw() % 400000;
 
 	if (sim->down.count(endpoint->name) != 0)
-		luck = 0;
-	if (sim->takes_us.count(endpoint->name) != 0)
-		takes_us = sim->takes_us[endpoint->name];
-	bool reached = luck >= 4;
+		percentile = 0;
+	if (sim->service_time_us.count(endpoint->name) != 0)
+		service_time_us = sim->service_time_us[endpoint->name];
+	bool reached = percentile >= 4;
 	if (reached)
 	{
-		fate.runs++;
-		if (fate.key != 0)
-			sim->runs_per_key[fate.key]++;
+		outcome_record.runs++;
+		if (outcome_record.key != 0)
+			sim->runs_per_key[outcome_record.key]++;
 	}
-	enum comet_outcome outcome = luck < 4   ? COMET_OUTCOME_UNREACHED
-				     : luck < 7 ? COMET_OUTCOME_FAILED
-						: COMET_OUTCOME_SERVED;
-	sim->after(takes_us,
+	enum comet_outcome outcome = percentile < 4   ? COMET_OUTCOME_UNREACHED
+				     : percentile < 7 ? COMET_OUTCOME_FAILED
+						      : COMET_OUTCOME_SERVED;
+	sim->after(service_time_us,
 		[=]
 		{
 			struct comet_sample sample = {20000, 10000, 100, 0, 10};
@@ -94,9 +94,9 @@
 		});
 }
 
-/* Whoever cannot be heard counts as well: the test sees all VMs at once. */
+/* Checks all VMs that run, including those that the shedding VM cannot reach. */
 void
-check_no_lower_kept(Sim *sim, uint32_t tier)
+expect_no_less_urgent_waiting(Sim *sim, uint32_t tier)
 {
 	sim->sheds++;
 	for (auto &vm : sim->vms)
@@ -107,7 +107,7 @@
 		comet_node_waiting(vm->node, waiting);
 		for (uint32_t lower = tier + 1; lower < COMET_TIERS_MAX; lower++)
 			EXPECT_EQ(waiting[lower], 0u) << "tier " << tier << " shed while "
-						      << vm->name << " keeps tier " << lower;
+						      << vm->name << " still queues tier " << lower;
 	}
 }
 
@@ -116,13 +116,13 @@
 	uint32_t retry_after_ms)
 {
 	Vm *vm = static_cast<Vm *>(ctx);
-	Fate &fate = vm->sim->fates[request];
+	RequestOutcome &outcome_record = vm->sim->fates[request];
 
 	(void)retry_after_ms;
-	fate.answers++;
+	outcome_record.answers++;
 	if (refusal == COMET_REFUSAL_SHED)
-		check_no_lower_kept(vm->sim, fate.tier);
-	fate.told_not_run = verdict == COMET_VERDICT_NOT_RUN;
+		expect_no_less_urgent_waiting(vm->sim, outcome_record.tier);
+	outcome_record.told_not_run = verdict == COMET_VERDICT_NOT_RUN;
 }
 
 void
@@ -133,13 +133,13 @@
 }
 
 void
-sim_entries(void *ctx)
+sim_entries_changed(void *ctx)
 {
 	(void)ctx;
 }
 
 const struct comet_node_ops sim_ops = {
-	sim_send, sim_dispatch, sim_refuse, sim_adopted, sim_entries};
+	sim_send, sim_dispatch, sim_refuse, sim_adopted, sim_entries_changed};
 
 Vm *
 Sim::add_vm(uint32_t max_waiting)
@@ -184,9 +184,10 @@
 	{
 		if (bundle != nullptr && (calm || draw() % 20 == 0))
 		{
-			/* not taken when the VM has it already */
-			gboolean taken = comet_node_offer_bundle(vm->node, bundle, time(), nullptr);
-			(void)taken;
+			/* The node rejects the bundle if it has this version already. */
+			gboolean accepted =
+				comet_node_offer_bundle(vm->node, bundle, time(), nullptr);
+			(void)accepted;
 		}
 		comet_node_tick(vm->node, time());
 	}
--- a/tests/unit/sim.h
+++ b/tests/unit/sim.h
@@ -1,7 +1,9 @@
 /*
  * sim.h
- * several nodes in one process under a virtual clock: messages are late, lost,
- * doubled and out of order, VMs pause, die and are cut off
+ * simulation of several nodes in one process with a virtual clock
+ *
+ * Messages are delayed, lost, duplicated and reordered. VMs can pause, stop and
+ * lose their connections.
  */
 #ifndef COMETSPINDLE_TESTS_SIM_H
 #define COMETSPINDLE_TESTS_SIM_H
@@ -49,8 +51,8 @@
 	}
 };
 
-/* A logical request: what became of it, and how often an endpoint ran it. */
-struct Fate
+/* The outcome of a request and the number of times that an endpoint ran it. */
+struct RequestOutcome
 {
 	uint64_t key;
 	uint32_t tier = 0;
@@ -68,17 +70,18 @@
 	unsigned int loss = 0;
 	std::priority_queue<Event> events;
 	std::vector<std::unique_ptr<Vm>> vms;
-	std::map<uint64_t, Fate> fates;       /* request -> fate */
-	std::map<uint64_t, int> runs_per_key; /* once key -> runs */
+	std::map<uint64_t, RequestOutcome> fates; /* by request id */
+	std::map<uint64_t, int> runs_per_key;     /* by idempotency key */
 	std::set<std::pair<uint64_t, uint64_t>> cuts;
 	uint8_t pub[COMET_SIGN_PUBLIC_BYTES];
 	uint8_t sec[COMET_SIGN_SECRET_BYTES];
 	uint64_t version = 0;
 	GBytes *bundle = nullptr;
 	size_t sheds = 0;
-	bool calm = false;                        /* nothing is late, lost or drawn */
-	std::set<std::string> down;               /* endpoints that cannot be reached */
-	std::map<std::string, uint64_t> takes_us; /* by endpoint; calm runs only */
+	bool calm = false;          /* fixed delays, no loss, no random choices */
+	std::set<std::string> down; /* names of unreachable endpoints */
+	std::map<std::string, uint64_t>
+		service_time_us; /* by endpoint name; overrides the default */
 
 	explicit Sim(unsigned int seed) : draw(seed)
 	{
--- a/tests/unit/test_scheduler.cc
+++ b/tests/unit/test_scheduler.cc
@@ -1,6 +1,6 @@
 /*
  * test_scheduler.cc
- * tier order, fairness, limits, health and leases of one scheduler
+ * tests of one scheduler: tier order, fairness, limits, health and leases
  */
 #include <cstring>
 #include <gtest/gtest.h>
@@ -16,15 +16,15 @@
 
 #include "fixtures.h"
 
-struct Granted
+struct RecordedGrant
 {
-	uint64_t holder;
+	uint64_t vm_id;
 	comet_Grant grant;
 };
 
 struct Scheduler : public ::testing::Test
 {
-	std::vector<Granted> granted;
+	std::vector<RecordedGrant> granted;
 	std::vector<uint64_t> declined;
 	struct comet_bundle *bundle = nullptr;
 	struct comet_scheduler *scheduler = nullptr;
@@ -36,8 +36,8 @@
 	start(unsigned int endpoints)
 	{
 		static const struct comet_scheduler_ops ops = {
-			[](void *ctx, uint64_t holder, const comet_Grant *grant) {
-				static_cast<Scheduler *>(ctx)->granted.push_back({holder, *grant});
+			[](void *ctx, uint64_t vm_id, const comet_Grant *grant) {
+				static_cast<Scheduler *>(ctx)->granted.push_back({vm_id, *grant});
 			},
 			[](void *ctx, uint64_t, uint64_t request)
 			{ static_cast<Scheduler *>(ctx)->declined.push_back(request); }};
@@ -53,8 +53,8 @@
 	}
 
 	void
-	ask(uint64_t request, uint32_t tier, const char *team = "a", uint32_t slack_ms = 60000,
-		uint32_t prefix = 0, uint32_t output = 10)
+	request_slot(uint64_t request, uint32_t tier, const char *team = "a",
+		uint32_t slack_ms = 60000, uint32_t prefix = 0, uint32_t output = 10)
 	{
 		comet_Ask message = comet_Ask_init_zero;
 		message.request = request;
@@ -102,11 +102,11 @@
 	}
 };
 
-TEST_F(Scheduler, FillsNoFurtherThanTheBatch)
+TEST_F(Scheduler, LimitsGrantsToBatchSize)
 {
 	start(2);
 	for (uint64_t i = 1; i <= 12; i++)
-		ask(i, 0);
+		request_slot(i, 0);
 	EXPECT_EQ(granted.size(), 8u);
 	EXPECT_EQ(counts().waiting[0], 4u);
 	finish(granted[0].grant);
@@ -117,9 +117,10 @@
 {
 	start(1);
 	for (uint64_t i = 1; i <= 4; i++)
-		ask(i, 0);
+		request_slot(i, 0);
 	for (uint64_t i = 5; i <= 16; i++)
-		ask(i, (uint32_t)(3 - (i - 5) / 3)); /* the least urgent come first */
+		request_slot(
+			i, (uint32_t)(3 - (i - 5) / 3)); /* the least urgent tier arrives first */
 	uint32_t last = 0;
 	for (size_t i = 0; i < granted.size(); i++)
 	{
@@ -130,38 +131,38 @@
 	EXPECT_EQ(granted.size(), 16u);
 }
 
-TEST_F(Scheduler, ATeamsBurstDoesNotDelayAnothersShare)
+TEST_F(Scheduler, BurstOfOneTeamDoesNotReduceShareOfAnother)
 {
 	start(1);
 	for (uint64_t i = 1; i <= 100; i++)
-		ask(i, 1, "a");
+		request_slot(i, 1, "a");
 	for (uint64_t i = 101; i <= 110; i++)
-		ask(i, 1, "b");
+		request_slot(i, 1, "b");
 	size_t before = granted.size();
-	size_t of_b = 0;
+	size_t granted_to_b = 0;
 	for (size_t i = 0; granted.size() < before + 20; i++)
 		finish(granted[i].grant);
 	for (size_t i = before; i < granted.size(); i++)
-		of_b += teams[granted[i].grant.request] == "b";
-	EXPECT_GE(of_b, 9u); /* every other grant, until b has no more */
+		granted_to_b += teams[granted[i].grant.request] == "b";
+	EXPECT_GE(granted_to_b, 9u); /* every other grant until team b has no waiting request */
 }
 
-TEST_F(Scheduler, AFreedEndpointTakesAPromptThatItHolds)
+TEST_F(Scheduler, FreedEndpointPrefersCachedPrefix)
 {
 	start(1);
-	ask(1, 1, "a", 60000, 5);
+	request_slot(1, 1, "a", 60000, 5);
 	for (uint64_t i = 2; i <= 4; i++)
-		ask(i, 1, "a", 60000, 6);
-	ask(10, 1, "a", 20000, 7); /* the most urgent, begins otherwise */
-	ask(11, 1, "a", 30000, 5);
-	ask(12, 1, "a", 40000, 5);
+		request_slot(i, 1, "a", 60000, 6);
+	request_slot(10, 1, "a", 20000, 7); /* the most urgent request, with another prefix */
+	request_slot(11, 1, "a", 30000, 5);
+	request_slot(12, 1, "a", 40000, 5);
 	finish(granted[0].grant);
 	ASSERT_EQ(granted.size(), 5u);
 	EXPECT_EQ(granted[4].grant.request, 11u);
 	EXPECT_GT(granted[4].grant.cached_tokens, 0u);
-	/* but not more than twelve times before the most urgent one */
+	/* After twelve consecutive affinity grants, the most urgent request must be next. */
 	for (uint64_t i = 13; i <= 40; i++)
-		ask(i, 1, "a", 41000, 5);
+		request_slot(i, 1, "a", 41000, 5);
 	size_t by_affinity = 1;
 	for (size_t i = 1; granted.back().grant.request != 10 && i < granted.size(); i++)
 	{
@@ -173,13 +174,13 @@
 	EXPECT_EQ(by_affinity, 12u);
 }
 
-TEST_F(Scheduler, DeclinesWhatCannotBeDoneInTime)
+TEST_F(Scheduler, DeclinesRequestsThatCannotMeetDeadline)
 {
 	start(1);
-	ask(1, 0, "a", 50, 0, 10000);
+	request_slot(1, 0, "a", 50, 0, 10000);
 	EXPECT_EQ(declined, std::vector<uint64_t>{1});
 	for (uint64_t i = 2; i <= 6; i++)
-		ask(i, 0, "a", 500);
+		request_slot(i, 0, "a", 500);
 	EXPECT_EQ(counts().waiting[0], 1u);
 	for (int i = 0; i < 30; i++)
 		tick(20000);
@@ -187,17 +188,17 @@
 	EXPECT_EQ(counts().waiting[0], 0u);
 }
 
-TEST_F(Scheduler, LeasesThatAreNotRenewedEnd)
+TEST_F(Scheduler, LeasesExpireWithoutRenewal)
 {
 	start(1);
 	for (uint64_t i = 1; i <= 6; i++)
-		ask(i, 0);
+		request_slot(i, 0);
 	EXPECT_EQ(counts().running, 4u);
 	EXPECT_EQ(counts().waiting[0], 2u);
 	tick(5900000);
 	EXPECT_EQ(counts().waiting[0], 2u);
 	tick(200000);
-	EXPECT_EQ(counts().waiting[0], 0u); /* asks ran out after six seconds */
+	EXPECT_EQ(counts().waiting[0], 0u); /* slot requests expire after 6 s */
 	EXPECT_EQ(counts().running, 4u);
 	comet_Running running = comet_Running_init_zero;
 	running.request = granted[0].grant.request;
@@ -206,46 +207,46 @@
 	tick(23800000);
 	EXPECT_EQ(counts().running, 4u);
 	tick(200000);
-	EXPECT_EQ(counts().running, 1u); /* grants after thirty, but for the renewed one */
+	EXPECT_EQ(counts().running, 1u); /* grants expire after 30 s, except the renewed one */
 }
 
-TEST_F(Scheduler, ADeadHoldersGrantsAreOver)
+TEST_F(Scheduler, DropsStateOfUnreachableVm)
 {
 	start(1);
 	for (uint64_t i = 1; i <= 6; i++)
-		ask(i, 0);
+		request_slot(i, 0);
 	comet_scheduler_holder_gone(scheduler, 9, now);
 	EXPECT_EQ(counts().running, 0u);
 	EXPECT_EQ(counts().waiting[0], 0u);
 }
 
-TEST_F(Scheduler, AFailingEndpointGetsProbesOnly)
+TEST_F(Scheduler, FailingEndpointGetsNoRegularRequests)
 {
 	start(4);
 	uint64_t request = 1;
 	for (int i = 0; i < 3; i++)
 	{
-		ask(request++, 0);
+		request_slot(request++, 0);
 		finish(granted.back().grant, COMET_OUTCOME_UNREACHED);
 		tick(1000);
 	}
-	uint32_t bad = 0;
+	uint32_t unhealthy = 0;
 	uint32_t count = 0;
 	struct comet_endpoint_state *endpoints = comet_scheduler_endpoints(scheduler, &count);
 	for (uint32_t i = 0; i < count; i++)
 	{
 		if (endpoints[i].health != COMET_HEALTH_OK)
-			bad = endpoints[i].id;
+			unhealthy = endpoints[i].id;
 	}
-	ASSERT_NE(bad, 0u);
+	ASSERT_NE(unhealthy, 0u);
 	size_t before = granted.size();
 	for (int i = 0; i < 12; i++)
-		ask(request++, 0);
+		request_slot(request++, 0);
 	for (size_t i = before; i < granted.size(); i++)
-		EXPECT_NE(granted[i].grant.endpoint, bad);
+		EXPECT_NE(granted[i].grant.endpoint, unhealthy);
 }
 
-TEST_F(Scheduler, WhenMostLookBadTheViewIsWrong)
+TEST_F(Scheduler, IgnoresHealthWhenMostEndpointsAreUnhealthy)
 {
 	start(3);
 	uint32_t count = 0;
@@ -258,18 +259,18 @@
 	EXPECT_EQ(counts().healthy, 0u);
 	tick(1000);
 	for (uint64_t i = 1; i <= 12; i++)
-		ask(i, 0);
+		request_slot(i, 0);
 	EXPECT_EQ(granted.size(), 12u);
 }
 
-TEST_F(Scheduler, ASlowEndpointGetsLessWork)
+TEST_F(Scheduler, SlowEndpointGetsFewerRequests)
 {
 	start(2);
-	ask(1, 0);
+	request_slot(1, 0);
 	uint32_t slow = granted[0].grant.endpoint;
 	comet_scheduler_slow(scheduler, slow, 200000, now);
 	for (uint64_t i = 2; i <= 4; i++)
-		ask(i, 0);
+		request_slot(i, 0);
 	for (size_t i = 1; i < 4; i++)
 		EXPECT_NE(granted[i].grant.endpoint, slow);
 }
