--- a/tests/unit/sim.h
+++ b/tests/unit/sim.h
@@ -81,7 +81,7 @@
 	bool calm = false;          /* fixed delays, no loss, no random choices */
 	std::set<std::string> down; /* names of unreachable endpoints */
 	std::map<std::string, uint64_t>
-		service_time_us; /* by endpoint name; overrides the default */
+		service_time_us; /* by endpoint name; set in calm runs only */
 
 	explicit Sim(unsigned int seed) : draw(seed)
 	{
