--- a/libcometspindle/node/node.c
+++ b/libcometspindle/node/node.c
@@ -1,6 +1,6 @@
 /*
  * node.c
- * the control state of one VM: life cycle, members and ticks
+ * Life cycle, member list and periodic work of the control state of one VM.
  */
 #include <libcometspindle/node/node.h>
 
@@ -8,17 +8,18 @@
 #include <libcometspindle/node/node_state.h>
 #include <string.h>
 
-/* A gap between ticks as long as this means the process was paused past its leases. */
-#define PAUSE_US 1000000ULL
-/* Claims and readers are looked after this often. */
-#define SLOW_TICK_US 500000ULL
-/* A VM that starts waits so long for peers before the platform alone is believed. */
-#define PEER_WAIT_US 1500000ULL
-/* VMs of a zone that watch the platform's bundle. */
+/* After a longer gap between ticks, the process was paused and its leases may have expired. */
+#define PAUSE_THRESHOLD_US 1000000ULL
+/* Interval at which expired claims are removed. */
+#define CLAIM_EXPIRY_INTERVAL_US 500000ULL
+/* Longest time that a starting VM waits for its peers to report a newer bundle. After that, the
+ * bundle of the platform is sufficient. */
+#define PEER_WAIT_MAX_US 1500000ULL
+/* VMs of an availability zone that watch the bundle of the platform. */
 #define READERS_PER_ZONE 2
 
 static void
-probe(void *ctx, struct comet_member *member)
+send_ping(void *ctx, struct comet_member *member)
 {
 	struct comet_node *node = ctx;
 	comet_Item item = {.which_body = comet_Item_ping_tag};
@@ -30,16 +31,16 @@
 }
 
 static void
-members_changed(void *ctx)
+on_members_changed(void *ctx)
 {
 	struct comet_node *node = ctx;
 
-	comet_node_assign_roles(node, comet_node_reask);
+	comet_node_assign_roles(node, comet_node_resend_requests);
 	node->ops->entries_changed(node->ctx);
 }
 
 static void
-member_died(void *ctx, uint64_t id)
+on_member_unreachable(void *ctx, uint64_t id)
 {
 	struct comet_node *node = ctx;
 
@@ -51,17 +52,18 @@
 	}
 }
 
-static const struct comet_membership_ops membership_ops = {probe, members_changed, member_died};
+static const struct comet_membership_ops membership_ops = {
+	send_ping, on_members_changed, on_member_unreachable};
 
 static int
 node_destructor(struct comet_node *node)
 {
 	g_hash_table_destroy(node->requests);
-	g_hash_table_destroy(node->outputs);
+	g_hash_table_destroy(node->output_ratios);
 	g_hash_table_destroy(node->reported);
 	g_hash_table_destroy(node->own_load);
 	g_hash_table_destroy(node->outboxes);
-	g_array_free(node->own_items, TRUE);
+	g_array_free(node->local_items, TRUE);
 	comet_bundle_unref(node->bundle);
 	if (node->signed_bundle != NULL)
 		g_bytes_unref(node->signed_bundle);
@@ -91,11 +93,11 @@
 	node->quota = comet_quota_create(node);
 	comet_load_shedding_init(&node->floor, COMET_TIERS_MAX);
 	node->requests = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
-	node->outputs = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
+	node->output_ratios = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
 	node->reported = g_hash_table_new(g_direct_hash, g_direct_equal);
 	node->own_load = g_hash_table_new(g_direct_hash, g_direct_equal);
 	node->outboxes = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
-	node->own_items = g_array_new(FALSE, FALSE, sizeof(comet_Item));
+	node->local_items = g_array_new(FALSE, FALSE, sizeof(comet_Item));
 	node->retry_budget = 10;
 	talloc_set_destructor(node, node_destructor);
 	return node;
@@ -121,18 +123,19 @@
 	comet_membership_set_list(node->members, vms, count);
 }
 
-/* Woke up after a pause: whatever was true before may not be. */
+/* Discards state that may be outdated after a pause: roles and quota leases. From now on, the VM
+ * answers "unsure" to claims on keys from before the end of the pause. */
 static void
-after_pause(struct comet_node *node, uint64_t gap_us)
+handle_pause(struct comet_node *node, uint64_t gap_us)
 {
-	comet_log(COMET_LOG_WARNING, "event=paused gap_ms=%" PRIu64 " action=drop_roles",
+	comet_log(COMET_LOG_WARNING, "event=process_paused gap_ms=%" PRIu64 " action=drop_roles",
 		gap_us / 1000);
 	node->counts.pauses++;
 	comet_node_drop_roles(node);
 	comet_quota_reset(node->quota);
 	comet_claims_paused(node->claims, node->now.wall_ms);
 	comet_membership_renew(node->members);
-	comet_node_assign_roles(node, comet_node_reask);
+	comet_node_assign_roles(node, comet_node_resend_requests);
 }
 
 static void
@@ -154,8 +157,8 @@
 
 	node->now = now;
 	node->last_tick_us = now.mono_us;
-	if (gap_us > PAUSE_US)
-		after_pause(node, gap_us);
+	if (gap_us > PAUSE_THRESHOLD_US)
+		handle_pause(node, gap_us);
 	comet_membership_set_eager(node->members, node->bundle != NULL && !node->floor.joined);
 	comet_membership_tick(node->members, now.mono_us);
 	members = comet_membership_all(node->members, &count);
@@ -164,9 +167,9 @@
 	comet_node_tick_requests(node);
 	tick_schedulers(node);
 	comet_node_fetch_bundle(node);
-	if (now.mono_us >= node->next_slow_tick_us)
+	if (now.mono_us >= node->next_claim_expiry_us)
 	{
-		node->next_slow_tick_us = now.mono_us + SLOW_TICK_US;
+		node->next_claim_expiry_us = now.mono_us + CLAIM_EXPIRY_INTERVAL_US;
 		comet_claims_expire(node->claims, now.wall_ms);
 	}
 	comet_node_flush(node, now);
@@ -184,40 +187,40 @@
 	for (size_t i = 0; i < count; i++)
 	{
 		if (members[i]->state == COMET_MEMBER_ALIVE)
-			probe(node, members[i]);
+			send_ping(node, members[i]);
 	}
 	comet_node_flush(node, now);
 }
 
-/* Alone in the list, nothing heard needs waiting for. */
+/* True if every peer has been seen. A VM without peers does not have to wait. */
 static bool
-peers_answered(const struct comet_node *node)
+all_peers_seen(const struct comet_node *node)
 {
 	size_t count = 0;
 	struct comet_member *const *members = comet_membership_all(node->members, &count);
-	size_t heard = 0;
+	size_t seen_count = 0;
 
 	for (size_t i = 0; i < count; i++)
 	{
 		if (members[i]->last_seen_us != 0)
-			heard++;
+			seen_count++;
 	}
-	return heard == count;
+	return seen_count == count;
 }
 
 const char *
 comet_node_not_ready(const struct comet_node *node)
 {
 	if (node->bundle == NULL)
-		return "no bundle yet: neither the platform's service nor a peer gave one";
+		return "no bundle received from the platform or from a peer";
 	if (node->n_vm_ids == 0)
-		return "no list of VMs yet: the platform's service did not give one";
+		return "no VM list received from the platform";
 	if (!node->listed)
-		return "this VM is not in the platform's list";
-	if (!peers_answered(node) && node->last_tick_us - node->started_us < PEER_WAIT_US)
-		return "asking peers whether a newer bundle is in force";
+		return "this VM is not in the VM list of the platform";
+	if (!all_peers_seen(node) && node->last_tick_us - node->started_us < PEER_WAIT_MAX_US)
+		return "waiting for peers to report their bundle versions";
 	if (!node->floor.joined)
-		return "asking peers which tiers are being shed";
+		return "waiting for peers to report which tiers are being shed";
 	if (node->stopping)
 		return "stopping";
 	return NULL;
@@ -229,16 +232,16 @@
 	size_t count = 0;
 	struct comet_member *const *members = comet_membership_all(node->members, &count);
 	uint64_t own = comet_hash_score(0, node->self_id);
-	size_t ahead = 0;
+	size_t higher_ranked = 0;
 
 	for (size_t i = 0; i < count; i++)
 	{
 		if (members[i]->state == COMET_MEMBER_ALIVE &&
 			strcmp(members[i]->zone, node->zone) == 0 &&
 			comet_hash_score(0, members[i]->id) > own)
-			ahead++;
+			higher_ranked++;
 	}
-	return ahead < READERS_PER_ZONE;
+	return higher_ranked < READERS_PER_ZONE;
 }
 
 struct comet_membership *
--- a/libcometspindle/node/node.h
+++ b/libcometspindle/node/node.h
@@ -1,9 +1,9 @@
 /*
  * node.h
- * the control state of one VM: bundle, members, roles and the requests it holds
+ * Control state of one VM: bundle, member list, scheduler roles and held requests.
  *
- * A state machine without sockets, threads or clocks: everything comes in by
- * the calls below and goes out by struct comet_node_ops. One thread owns it.
+ * The node is a state machine without sockets, threads or clocks. Input arrives through the
+ * functions below, output leaves through struct comet_node_ops. Only one thread may use a node.
  */
 #ifndef COMETSPINDLE_NODE_H
 #define COMETSPINDLE_NODE_H
@@ -19,33 +19,34 @@
 comet_node_create(void *parent, const struct comet_node_config *config,
 	const struct comet_node_ops *ops, void *ctx, struct comet_time now);
 
-/** The platform's list of VMs. */
+/** Replaces the VM list with the current one of the platform. */
 void
 comet_node_set_vms(
 	struct comet_node *node, const struct comet_vm *vms, size_t count, struct comet_time now);
 
-/** To be called every COMET_NODE_TICK_US or so. */
+/** Runs timers. The caller calls this about every COMET_NODE_TICK_US. */
 void
 comet_node_tick(struct comet_node *node, struct comet_time now);
 
 #define COMET_NODE_TICK_US 20000
 
-/** This VM stops: gives up its roles, tells peers. */
+/** Starts a planned stop: announces to all live peers that this VM is leaving. */
 void
 comet_node_stop(struct comet_node *node, struct comet_time now);
 
-/** @return NULL when it may take requests, else why not. */
+/** @return NULL if the VM is ready for requests, else the reason why it is not. */
 const char *
 comet_node_not_ready(const struct comet_node *node);
 
-/** Should this VM watch the platform's bundle (a few per zone do)? */
+/** True if this VM is one of the few per availability zone that watch the bundle of the platform.
+ */
 bool
 comet_node_is_reader(struct comet_node *node);
 
 struct comet_membership *
 comet_node_members(struct comet_node *node);
 
-/** Requests held by this VM that wait, by tier. */
+/** Copies the number of waiting requests held by this VM, by tier. */
 void
 comet_node_waiting(const struct comet_node *node, uint32_t waiting[COMET_TIERS_MAX]);
 
--- a/libcometspindle/node/node_admit.c
+++ b/libcometspindle/node/node_admit.c
@@ -1,19 +1,20 @@
 /*
  * node_admit.c
- * whether a request may wait here: claims on its key, quota, and shedding in tier order
+ * Admission of requests: idempotency claims, quota, and load shedding in tier order.
  */
 #include <libcometspindle/node/node_state.h>
 
 #include <libcometspindle/hash.h>
 #include <string.h>
 
+/* Longest wait for a quorum of claim replies. */
 #define CLAIM_WAIT_US 1000000ULL
-/* A quota lease is asked for a few requests at once. */
-#define QUOTA_AHEAD 4
+/* Each quota request asks for enough for this many requests, to save messages. */
+#define QUOTA_REQUEST_BATCH 4
 
-/* Lowest tier that waits here. */
+/* The lowest-priority tier (largest number) with a waiting request, or 0. */
 static uint32_t
-lowest_waiting(const struct comet_node *node)
+lowest_waiting_tier(const struct comet_node *node)
 {
 	for (uint32_t tier = COMET_TIERS_MAX; tier > 0; tier--)
 	{
@@ -31,14 +32,14 @@
 	if (tier < node->floor.shed_from)
 		comet_violation(
 			"shed_above_floor", "tier=%u shed_from=%u", tier, node->floor.shed_from);
-	if (lowest_waiting(node) > tier)
-		comet_violation(
-			"shed_inversion", "tier=%u lowest_waiting=%u", tier, lowest_waiting(node));
+	if (lowest_waiting_tier(node) > tier)
+		comet_violation("shed_inversion", "tier=%u lowest_waiting=%u", tier,
+			lowest_waiting_tier(node));
 	node->counts.shed_by_tier[tier]++;
 	comet_request_refuse(node, request, COMET_REFUSAL_SHED, COMET_VERDICT_NOT_RUN);
 }
 
-/* The waiting request of a tier that came last. */
+/* The waiting request of this tier that arrived last. Equal arrival times are ordered by id. */
 static struct comet_request *
 newest_of_tier(struct comet_node *node, uint32_t tier)
 {
@@ -60,13 +61,14 @@
 	return newest;
 }
 
-/* Full: the lowest tier goes, as far as the promises between VMs allow; else all wait. */
+/* Sheds the lowest tier while the queue is full. Keeps all requests if the shedding level agreed
+ * with the other VMs does not allow that tier to be shed. */
 void
 comet_node_make_room(struct comet_node *node)
 {
 	while (node->waiting_total > node->max_waiting)
 	{
-		uint32_t lowest = lowest_waiting(node);
+		uint32_t lowest = lowest_waiting_tier(node);
 		comet_load_shedding_request(&node->floor, lowest, node->now.mono_us);
 		if (lowest < node->floor.shed_from)
 			return;
@@ -75,24 +77,24 @@
 }
 
 void
-comet_request_post_quota_ask(struct comet_node *node, const struct comet_request *request)
+comet_request_post_quota_request(struct comet_node *node, const struct comet_request *request)
 {
 	comet_Item item = {.which_body = comet_Item_quota_ask_tag};
 	size_t count = 0;
 	const uint64_t *live = comet_membership_live(node->members, &count);
-	uint64_t home = live[0];
+	uint64_t owner = live[0];
 
 	for (size_t i = 1; i < count; i++)
 	{
 		uint64_t team = request->submission.team_id;
-		if (comet_hash_score(team, live[i]) > comet_hash_score(team, home))
-			home = live[i];
+		if (comet_hash_score(team, live[i]) > comet_hash_score(team, owner))
+			owner = live[i];
 	}
 	item.body.quota_ask.team = request->submission.team_id;
 	item.body.quota_ask.tokens =
-		QUOTA_AHEAD * (request->submission.prompt_tokens + request->output_tokens);
-	item.body.quota_ask.requests = QUOTA_AHEAD;
-	comet_node_post(node, home, &item);
+		QUOTA_REQUEST_BATCH * (request->submission.prompt_tokens + request->output_tokens);
+	item.body.quota_ask.requests = QUOTA_REQUEST_BATCH;
+	comet_node_post(node, owner, &item);
 }
 
 static bool
@@ -117,9 +119,9 @@
 		return;
 	}
 	request->state = COMET_REQUEST_QUOTA;
-	request->step_until_us = node->now.mono_us + COMET_QUOTA_WAIT_US;
-	request->renew_us = node->now.mono_us + COMET_QUOTA_WAIT_US / 4;
-	comet_request_post_quota_ask(node, request);
+	request->step_deadline_us = node->now.mono_us + COMET_QUOTA_WAIT_US;
+	request->renew_at_us = node->now.mono_us + COMET_QUOTA_WAIT_US / 4;
+	comet_request_post_quota_request(node, request);
 }
 
 void
@@ -150,7 +152,7 @@
 	comet_Item item = {.which_body = comet_Item_claim_tag};
 
 	request->state = COMET_REQUEST_CLAIMING;
-	request->step_until_us = node->now.mono_us + CLAIM_WAIT_US;
+	request->step_deadline_us = node->now.mono_us + CLAIM_WAIT_US;
 	request->group_size = (uint32_t)comet_claims_group(
 		node->vm_ids, node->n_vm_ids, request->submission.key, request->group);
 	item.body.claim.key = request->submission.key;
@@ -181,7 +183,7 @@
 		return;
 	}
 	if (request->group_size - request->claims_refused >= quorum)
-		return; /* may still come together */
+		return; /* the remaining replies can still complete the quorum */
 	comet_request_refuse(node, request,
 		request->claim_seen ? COMET_REFUSAL_ALREADY_SEEN : COMET_REFUSAL_UNSURE,
 		COMET_VERDICT_MAY_HAVE_RUN);
--- a/libcometspindle/node/node_bundle.c
+++ b/libcometspindle/node/node_bundle.c
@@ -1,6 +1,6 @@
 /*
  * node_bundle.c
- * the bundle in force: offered, checked, installed, and fetched from peers
+ * Verifies and installs configuration bundles, and fetches newer ones from peers.
  */
 #include <libcometspindle/node/node_bundle.h>
 
@@ -8,9 +8,8 @@
 #include <libcometspindle/node/node_state.h>
 #include <libcometspindle/sign.h>
 
-/* A newer bundle is asked for this often: an answer takes some milliseconds, and one may be lost.
- */
-#define FETCH_EVERY_US 500000ULL
+/* Interval between requests for a newer bundle. A reply takes milliseconds, but may be lost. */
+#define FETCH_INTERVAL_US 500000ULL
 
 static void
 bundle_install(struct comet_node *node, struct comet_bundle *bundle, GBytes *signed_document)
@@ -29,9 +28,9 @@
 		node->claims, bundle->limits.key_lifetime_s, bundle->limits.clock_skew_ms);
 	if (before == 0)
 		comet_load_shedding_init(&node->floor, bundle->n_tiers);
-	comet_log(COMET_LOG_NOTICE, "event=bundle version=%" PRIu64 " was=%" PRIu64,
+	comet_log(COMET_LOG_NOTICE, "event=bundle_adopted version=%" PRIu64 " was=%" PRIu64,
 		bundle->version, before);
-	comet_node_assign_roles(node, comet_node_reask);
+	comet_node_assign_roles(node, comet_node_resend_requests);
 	node->ops->adopted(node->ctx, bundle);
 }
 
@@ -59,7 +58,8 @@
 	if (node->bundle != NULL && bundle->n_tiers != node->bundle->n_tiers)
 	{
 		g_set_error(error, COMET_ERROR, COMET_ERROR_INVALID,
-			"tiers: must stay %u in number while VMs run", node->bundle->n_tiers);
+			"tiers: the number of tiers must stay %u while VMs run",
+			node->bundle->n_tiers);
 		comet_bundle_unref(bundle);
 		return FALSE;
 	}
@@ -73,7 +73,7 @@
 	return node->bundle;
 }
 
-/* Asks a peer for a bundle that it has and we have not. */
+/* Requests a bundle from the live peer that reports the newest version, if newer than ours. */
 void
 comet_node_fetch_bundle(struct comet_node *node)
 {
@@ -82,7 +82,7 @@
 	struct comet_member *const *members = comet_membership_all(node->members, &count);
 	struct comet_member *best = NULL;
 
-	if (node->now.mono_us - node->bundle_asked_us < FETCH_EVERY_US)
+	if (node->now.mono_us - node->bundle_requested_us < FETCH_INTERVAL_US)
 		return;
 	for (size_t i = 0; i < count; i++)
 	{
@@ -95,5 +95,5 @@
 	comet_Item item = {.which_body = comet_Item_bundle_ask_tag};
 	item.body.bundle_ask.newer_than = have;
 	comet_node_post(node, best->id, &item);
-	node->bundle_asked_us = node->now.mono_us;
+	node->bundle_requested_us = node->now.mono_us;
 }
--- a/libcometspindle/node/node_dispatch.c
+++ b/libcometspindle/node/node_dispatch.c
@@ -1,32 +1,32 @@
 /*
  * node_dispatch.c
- * asking schedulers, dispatching once, and what is learned from it
+ * Sends slot requests to schedulers, dispatches each request once, and learns output lengths.
  */
 #include <libcometspindle/node/node_state.h>
 
 #include <libcometspindle/hash.h>
 #include <string.h>
 
-/* A lost ask delays its request; a lost end of a grant only holds a slot, and holders that die are
- * noticed. */
-#define ASK_RENEW_US 2000000ULL
+/* A lost slot request delays its request, so it is renewed often. A lost release only occupies a
+ * slot, and the scheduler frees the slots of unreachable VMs, so grants are renewed rarely. */
+#define SLOT_REQUEST_RENEW_US 2000000ULL
 #define GRANT_RENEW_US 10000000ULL
-#define OUTPUT_RATIO_START 0.8
-#define OUTPUT_LEARN 0.1
-/* Prompts that are alike up to this sample go to one shard. */
-#define SHARD_SAMPLE 3
+#define OUTPUT_RATIO_INITIAL 0.8
+#define OUTPUT_RATIO_WEIGHT 0.1
+/* Prompts with equal prefix hashes up to this index go to the same shard. */
+#define SHARD_PREFIX_INDEX 3
 
 double *
 comet_node_output_ratio(struct comet_node *node, uint32_t team_id, uint32_t pool_id)
 {
 	uint64_t key = ((uint64_t)team_id << 32) | pool_id;
-	double *ratio = g_hash_table_lookup(node->outputs, &key);
+	double *ratio = g_hash_table_lookup(node->output_ratios, &key);
 
 	if (ratio == NULL)
 	{
 		ratio = g_new(double, 1);
-		*ratio = OUTPUT_RATIO_START;
-		g_hash_table_insert(node->outputs, g_memdup2(&key, sizeof key), ratio);
+		*ratio = OUTPUT_RATIO_INITIAL;
+		g_hash_table_insert(node->output_ratios, g_memdup2(&key, sizeof key), ratio);
 	}
 	return ratio;
 }
@@ -41,7 +41,7 @@
 	if (request->submission.max_output_tokens == 0)
 		return;
 	double sample = (double)output_tokens / request->submission.max_output_tokens;
-	*ratio += OUTPUT_LEARN * (sample - *ratio);
+	*ratio += OUTPUT_RATIO_WEIGHT * (sample - *ratio);
 }
 
 static void
@@ -55,7 +55,7 @@
 		(uint32_t)node->self_id, request->submission.request,
 		comet_node_team_name(node, request->submission.team_id), request->submission.tier,
 		endpoint->name, node->policy->ops->name, node->now.mono_us - request->arrived_us,
-		(int64_t)(request->deadline_us - node->now.mono_us), request->tries);
+		(int64_t)(request->deadline_us - node->now.mono_us), request->failed_attempts);
 }
 
 void
@@ -72,15 +72,16 @@
 	request->state = COMET_REQUEST_RUNNING;
 	request->dispatches++;
 	request->endpoint_id = endpoint->id;
-	request->renew_us = node->now.mono_us + GRANT_RENEW_US;
+	request->renew_at_us = node->now.mono_us + GRANT_RENEW_US;
 	node->counts.dispatched++;
 	log_dispatch(node, request, endpoint);
 	node->ops->dispatch(node->ctx, request->submission.request, endpoint);
 }
 
-/* Baselines: choose now from what is known here, without a scheduler. */
+/* Dispatches immediately, using only load known to this VM. For baseline policies without a
+ * scheduler. */
 static void
-route_now(struct comet_node *node, struct comet_request *request)
+dispatch_unscheduled(struct comet_node *node, struct comet_request *request)
 {
 	struct comet_candidate *candidates =
 		talloc_array(node, struct comet_candidate, node->bundle->n_endpoints + 1);
@@ -126,7 +127,7 @@
 		g_hash_table_insert(node->own_load, id, GUINT_TO_POINTER(load - 1));
 }
 
-/* Requests with a common prompt start meet at one shard; the others spread. */
+/* Maps requests with a common prompt prefix to the same shard, and spreads all others by id. */
 uint32_t
 comet_node_pick_shard(const struct comet_node *node, const struct comet_submission *submission)
 {
@@ -135,19 +136,20 @@
 	uint64_t key = submission->request;
 
 	if (prefix->count > 0)
-		key = prefix->hash[prefix->count > SHARD_SAMPLE ? SHARD_SAMPLE : prefix->count - 1];
+		key = prefix->hash[prefix->count > SHARD_PREFIX_INDEX ? SHARD_PREFIX_INDEX
+								      : prefix->count - 1];
 	return (uint32_t)(comet_hash_bytes(&key, sizeof key, 0) % shards);
 }
 
 void
-comet_request_post_ask(struct comet_node *node, struct comet_request *request)
+comet_request_post_slot_request(struct comet_node *node, struct comet_request *request)
 {
 	const struct comet_submission *submission = &request->submission;
 	comet_Item item = {.which_body = comet_Item_ask_tag};
 	comet_Ask *ask = &item.body.ask;
 	struct comet_role *role = comet_node_role(node, submission->pool_id, request->shard);
 
-	request->renew_us = node->now.mono_us + ASK_RENEW_US;
+	request->renew_at_us = node->now.mono_us + SLOT_REQUEST_RENEW_US;
 	if (role == NULL)
 	{
 		request->shard = comet_node_pick_shard(node, submission);
@@ -155,7 +157,7 @@
 	}
 	request->scheduler = role != NULL ? role->vm : 0;
 	if (request->scheduler == 0)
-		return; /* asked again when a role is known */
+		return; /* renewed later, when the VM that holds the role is known */
 	uint64_t slack_us = request->deadline_us > node->now.mono_us
 				    ? request->deadline_us - node->now.mono_us
 				    : 0;
@@ -180,7 +182,7 @@
 	const struct comet_role *role =
 		comet_node_role(node, request->submission.pool_id, request->shard);
 
-	request->renew_us = node->now.mono_us + GRANT_RENEW_US;
+	request->renew_at_us = node->now.mono_us + GRANT_RENEW_US;
 	if (role == NULL || role->vm == 0 || !node->policy->ops->scheduled)
 		return;
 	item.body.running.request = request->submission.request;
@@ -195,7 +197,7 @@
 {
 	request->state = COMET_REQUEST_WAITING;
 	if (node->policy->ops->scheduled)
-		comet_request_post_ask(node, request);
+		comet_request_post_slot_request(node, request);
 	else
-		route_now(node, request);
+		dispatch_unscheduled(node, request);
 }
--- a/libcometspindle/node/node_holder.c
+++ b/libcometspindle/node/node_holder.c
@@ -1,6 +1,6 @@
 /*
  * node_holder.c
- * the life of the requests that this VM holds
+ * Life cycle of the requests that this VM holds, from submission to the final answer.
  */
 #include <libcometspindle/node/node_holder.h>
 
@@ -9,10 +9,10 @@
 #include <libcometspindle/hash.h>
 #include <string.h>
 
-#define TRIES_MAX 2
-/* Retries may be this part of submissions, saved up to a few. */
-#define RETRY_PART 0.1
-#define RETRY_SAVED_MAX 20.0
+#define RETRIES_MAX 2
+/* Each submission adds this part of one retry to the budget, up to the maximum. */
+#define RETRY_BUDGET_RATIO 0.1
+#define RETRY_BUDGET_MAX 20.0
 
 void
 comet_node_submit(
@@ -28,7 +28,7 @@
 	g_hash_table_insert(node->requests, &request->submission.request, request);
 	comet_request_count(node, request, 1);
 	node->counts.submitted++;
-	node->retry_budget = MIN(node->retry_budget + RETRY_PART, RETRY_SAVED_MAX);
+	node->retry_budget = MIN(node->retry_budget + RETRY_BUDGET_RATIO, RETRY_BUDGET_MAX);
 	if (node->bundle == NULL || !node->floor.joined)
 	{
 		comet_request_refuse(node, request, COMET_REFUSAL_NOT_READY, COMET_VERDICT_NOT_RUN);
@@ -44,7 +44,8 @@
 	}
 	uint64_t id = submission->request;
 	comet_node_make_room(node);
-	request = comet_request_find(node, id); /* it may have been the one to go */
+	/* comet_node_make_room() may have shed this request */
+	request = comet_request_find(node, id);
 	if (request == NULL)
 		return;
 	if (submission->once)
@@ -75,7 +76,7 @@
 		node->bundle != NULL ? comet_bundle_endpoint(node->bundle, grant->endpoint) : NULL;
 
 	if (request == NULL)
-		return; /* its withdrawal crossed with the grant and ends it */
+		return; /* the release already sent for this request also ends the grant */
 	if (request->state != COMET_REQUEST_WAITING || request->scheduler != from)
 	{
 		if (request->state != COMET_REQUEST_RUNNING || request->scheduler != from)
@@ -85,9 +86,9 @@
 	if (endpoint == NULL || endpoint->leaving ||
 		!comet_endpoint_serves(endpoint, request->submission.pool_id))
 	{
-		/* the two VMs are on different bundles for a moment */
+		/* the scheduler and this VM have different bundle versions for a short time */
 		return_grant(node, request, from, grant);
-		comet_request_post_ask(node, request);
+		comet_request_post_slot_request(node, request);
 		return;
 	}
 	request->cached_tokens = grant->cached_tokens;
@@ -108,11 +109,11 @@
 static void
 retry_or_refuse(struct comet_node *node, struct comet_request *request)
 {
-	request->dispatches = 0; /* that one was surely not run */
-	request->tries++;
+	request->dispatches = 0; /* the endpoint did not execute the request */
+	request->failed_attempts++;
 	request->state = COMET_REQUEST_WAITING;
 	comet_request_count(node, request, 1);
-	if (request->tries > TRIES_MAX || node->retry_budget < 1)
+	if (request->failed_attempts > RETRIES_MAX || node->retry_budget < 1)
 	{
 		comet_request_refuse(
 			node, request, COMET_REFUSAL_ENDPOINT_FAILED, COMET_VERDICT_NOT_RUN);
@@ -153,7 +154,7 @@
 	}
 	else
 		node->counts.failed++;
-	comet_request_forget(node, request);
+	comet_request_remove(node, request);
 }
 
 void
@@ -168,7 +169,7 @@
 		comet_request_release_claims(node, request);
 	if (request->state == COMET_REQUEST_WAITING)
 		comet_request_post_done(node, request, COMET_OUTCOME_WITHDRAWN, NULL);
-	comet_request_forget(node, request);
+	comet_request_remove(node, request);
 }
 
 void
@@ -191,7 +192,7 @@
 }
 
 void
-comet_node_reask(struct comet_node *node, const struct comet_role *role)
+comet_node_resend_requests(struct comet_node *node, const struct comet_role *role)
 {
 	GHashTableIter iter;
 	gpointer value = NULL;
@@ -205,13 +206,13 @@
 		if (request->submission.pool_id != role->pool_id || request->shard != role->shard)
 			continue;
 		if (request->state == COMET_REQUEST_WAITING)
-			comet_request_post_ask(node, request);
+			comet_request_post_slot_request(node, request);
 		else if (request->state == COMET_REQUEST_RUNNING)
 			comet_request_post_running(node, request);
 	}
 }
 
-/* What a tick does to one waiting request; it may be gone afterwards. */
+/* Applies deadlines, load shedding and renewals to a waiting request. May free the request. */
 static void
 tick_waiting(struct comet_node *node, struct comet_request *request)
 {
@@ -223,18 +224,18 @@
 								 : COMET_VERDICT_NOT_RUN);
 	else if (request->submission.tier >= node->floor.keep_below)
 		comet_request_shed(node, request);
-	else if (request->state == COMET_REQUEST_CLAIMING && now_us >= request->step_until_us)
+	else if (request->state == COMET_REQUEST_CLAIMING && now_us >= request->step_deadline_us)
 		comet_request_refuse(
 			node, request, COMET_REFUSAL_UNSURE, COMET_VERDICT_MAY_HAVE_RUN);
-	else if (request->state == COMET_REQUEST_QUOTA && now_us >= request->step_until_us)
+	else if (request->state == COMET_REQUEST_QUOTA && now_us >= request->step_deadline_us)
 		comet_request_refuse(node, request, COMET_REFUSAL_QUOTA, COMET_VERDICT_NOT_RUN);
-	else if (now_us >= request->renew_us && request->state == COMET_REQUEST_QUOTA)
+	else if (now_us >= request->renew_at_us && request->state == COMET_REQUEST_QUOTA)
 	{
-		request->renew_us = now_us + COMET_QUOTA_WAIT_US / 4;
-		comet_request_post_quota_ask(node, request);
+		request->renew_at_us = now_us + COMET_QUOTA_WAIT_US / 4;
+		comet_request_post_quota_request(node, request);
 	}
-	else if (now_us >= request->renew_us && request->state == COMET_REQUEST_WAITING)
-		comet_request_post_ask(node, request);
+	else if (now_us >= request->renew_at_us && request->state == COMET_REQUEST_WAITING)
+		comet_request_post_slot_request(node, request);
 }
 
 static gint
@@ -259,7 +260,7 @@
 		struct comet_request *request = value;
 		if (comet_request_is_waiting(request))
 			g_ptr_array_add(waiting, request);
-		else if (node->now.mono_us >= request->renew_us)
+		else if (node->now.mono_us >= request->renew_at_us)
 			comet_request_post_running(node, request);
 	}
 	g_ptr_array_sort(waiting, lower_tier_first);
--- a/libcometspindle/node/node_outbox.c
+++ b/libcometspindle/node/node_outbox.c
@@ -1,6 +1,6 @@
 /*
  * node_outbox.c
- * messages to other VMs, packed until the next flush
+ * Collects items for other VMs into one packet per VM until the next flush.
  */
 #include <libcometspindle/node/node_state.h>
 
@@ -33,8 +33,9 @@
 	node->pending = true;
 	if (vm == node->self_id)
 	{
-		/* never handled at once: callers are in the middle of their own lists */
-		g_array_append_vals(node->own_items, item, 1);
+		/* deferred to the next flush, because callers may be iterating over tables that the
+		 * item would change */
+		g_array_append_vals(node->local_items, item, 1);
 		return;
 	}
 	struct comet_outbox *outbox = outbox_of(node, vm);
--- a/libcometspindle/node/node_peers.c
+++ b/libcometspindle/node/node_peers.c
@@ -1,6 +1,6 @@
 /*
  * node_peers.c
- * messages between VMs: packing what goes out, handing on what comes in
+ * Sends queued packets to other VMs and dispatches received items to their handlers.
  */
 #include <libcometspindle/node/node_peers.h>
 
@@ -12,17 +12,17 @@
 static void
 on_item(struct comet_node *node, uint64_t from, const comet_Item *item, GBytes *blob);
 
-/* Roles held here are reached by the same messages, without a socket. */
+/* Handles items that this VM sent to itself, for roles that it holds. */
 static void
-flush_self(struct comet_node *node)
+handle_local_items(struct comet_node *node)
 {
-	for (guint i = 0; i < node->own_items->len; i++)
+	for (guint i = 0; i < node->local_items->len; i++)
 	{
-		/* copied: handling one may append others and move the array */
-		comet_Item item = g_array_index(node->own_items, comet_Item, i);
+		/* copied, because a handler may append items and reallocate the array */
+		comet_Item item = g_array_index(node->local_items, comet_Item, i);
 		on_item(node, node->self_id, &item, NULL);
 	}
-	g_array_set_size(node->own_items, 0);
+	g_array_set_size(node->local_items, 0);
 }
 
 void
@@ -32,7 +32,7 @@
 	gpointer value = NULL;
 
 	node->now = now;
-	flush_self(node);
+	handle_local_items(node);
 	node->pending = false;
 	g_hash_table_iter_init(&iter, node->outboxes);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
@@ -41,7 +41,7 @@
 		if (outbox->packet.items_count == 0)
 			continue;
 		if (comet_membership_find(node->members, outbox->vm) == NULL)
-			outbox->packet.items_count = 0; /* no longer listed */
+			outbox->packet.items_count = 0; /* the VM has left the VM list */
 		else
 			comet_node_send_outbox(node, outbox, NULL);
 	}
@@ -68,7 +68,7 @@
 }
 
 static void
-on_bundle_ask(struct comet_node *node, uint64_t from, const comet_BundleAsk *ask)
+on_bundle_request(struct comet_node *node, uint64_t from, const comet_BundleAsk *ask)
 {
 	if (node->bundle == NULL || node->bundle->version <= ask->newer_than)
 		return;
@@ -109,7 +109,7 @@
 }
 
 static void
-on_quota_ask(struct comet_node *node, uint64_t from, const comet_QuotaAsk *ask)
+on_quota_request(struct comet_node *node, uint64_t from, const comet_QuotaAsk *ask)
 {
 	const struct comet_team *team =
 		node->bundle != NULL ? comet_bundle_team(node->bundle, ask->team) : NULL;
@@ -131,9 +131,9 @@
 }
 
 static void
-on_ask(struct comet_node *node, uint64_t from, const comet_Ask *ask)
+on_slot_request(struct comet_node *node, uint64_t from, const comet_Ask *ask)
 {
-	/* a pool of one shard is the common case; others are found by the shard named */
+	/* only the scheduler of the requested shard handles the slot request */
 	for (uint32_t i = 0; i < node->n_roles; i++)
 	{
 		struct comet_role *role = &node->roles[i];
@@ -177,7 +177,7 @@
 	switch (item->which_body)
 	{
 	case comet_Item_ask_tag:
-		on_ask(node, from, &item->body.ask);
+		on_slot_request(node, from, &item->body.ask);
 		break;
 	case comet_Item_grant_tag:
 		comet_node_on_grant(node, from, &item->body.grant);
@@ -212,19 +212,19 @@
 		comet_node_on_claim_reply(node, &item->body.claim_reply);
 		break;
 	case comet_Item_quota_ask_tag:
-		on_quota_ask(node, from, &item->body.quota_ask);
+		on_quota_request(node, from, &item->body.quota_ask);
 		break;
 	case comet_Item_quota_grant_tag:
 		comet_node_on_quota_grant(node, &item->body.quota_grant);
 		break;
 	case comet_Item_bundle_ask_tag:
-		on_bundle_ask(node, from, &item->body.bundle_ask);
+		on_bundle_request(node, from, &item->body.bundle_ask);
 		break;
 	case comet_Item_bundle_offer_tag:
 		on_bundle_offer(node, from, blob);
 		break;
 	default:
-		break; /* a newer release's message */
+		break; /* unknown item type of a newer release */
 	}
 }
 
--- a/libcometspindle/node/node_request.c
+++ b/libcometspindle/node/node_request.c
@@ -1,12 +1,12 @@
 /*
  * node_request.c
- * one request that this VM holds: how it is found, counted, refused and forgotten
+ * Lookup, counting, refusal and removal of the requests that this VM holds.
  */
 #include <libcometspindle/node/node_state.h>
 
 #include <libcometspindle/hash.h>
 
-/* Callers that are refused come back after a second or so, and not all at once. */
+/* Refused callers are told to retry after 0.5 to 2 s, spread to avoid synchronized retries. */
 #define RETRY_AFTER_MIN_MS 500
 #define RETRY_AFTER_SPREAD_MS 1500
 
@@ -22,7 +22,7 @@
 	return request->state != COMET_REQUEST_RUNNING;
 }
 
-/* Spreads callers out, so that they do not all come back at once. */
+/* Derives the delay from the request id, so that callers do not retry at the same time. */
 static uint32_t
 retry_after_ms(const struct comet_request *request)
 {
@@ -40,7 +40,7 @@
 }
 
 void
-comet_request_forget(struct comet_node *node, struct comet_request *request)
+comet_request_remove(struct comet_node *node, struct comet_request *request)
 {
 	if (comet_request_is_waiting(request))
 		comet_request_count(node, request, -1);
@@ -95,7 +95,7 @@
 		comet_node_post(node, request->group[i], &item);
 }
 
-/* The verdict of a refusal, and what it means for the key that was claimed. */
+/* Refuses a request. Releases its claims if no dispatch may have reached an endpoint. */
 void
 comet_request_refuse(struct comet_node *node, struct comet_request *request,
 	enum comet_refusal refusal, enum comet_verdict verdict)
@@ -112,7 +112,7 @@
 		(uint32_t)node->self_id, id,
 		comet_node_team_name(node, request->submission.team_id), request->submission.tier,
 		comet_refusal_name(refusal), comet_verdict_name(verdict),
-		node->now.mono_us - request->arrived_us, request->tries);
+		node->now.mono_us - request->arrived_us, request->failed_attempts);
 	node->counts.refused[refusal]++;
 	if (request->submission.once && request->dispatches == 0)
 		comet_request_release_claims(node, request);
@@ -121,6 +121,6 @@
 		request->endpoint_id = 0;
 		comet_request_post_done(node, request, COMET_OUTCOME_WITHDRAWN, NULL);
 	}
-	comet_request_forget(node, request);
+	comet_request_remove(node, request);
 	node->ops->refuse(node->ctx, id, refusal, verdict, retry_ms);
 }
--- a/libcometspindle/node/node_roles.c
+++ b/libcometspindle/node/node_roles.c
@@ -1,6 +1,6 @@
 /*
  * node_roles.c
- * who schedules which shard: rendezvous hashing over the live VMs, with bounded load
+ * Assigns shards to scheduler VMs by rendezvous hashing over the live VMs, with bounded load.
  */
 #include <libcometspindle/node/node_roles.h>
 
@@ -9,8 +9,9 @@
 #include <libcometspindle/hash.h>
 #include <string.h>
 
-/* A new scheduler listens so long before its first grant, so that holders can tell it what runs. */
-#define SETTLE_US 250000ULL
+/* A new scheduler sends no grant for this long, so that the other VMs can report their running
+ * requests first. */
+#define SCHEDULER_LISTEN_US 250000ULL
 
 static void
 send_grant(void *ctx, uint64_t holder, const comet_Grant *grant)
@@ -45,9 +46,9 @@
 	return NULL;
 }
 
-/* The best-scored VM that is below its part of the roles. */
+/* The VM with the highest score among those with fewer roles than the bound. */
 static size_t
-pick_vm(uint64_t key, const uint64_t *live, const uint32_t *taken, size_t count, uint32_t bound)
+pick_vm(uint64_t key, const uint64_t *live, const uint32_t *assigned, size_t count, uint32_t bound)
 {
 	size_t best = 0;
 	uint64_t best_score = 0;
@@ -55,7 +56,7 @@
 	for (size_t i = 0; i < count; i++)
 	{
 		uint64_t score = comet_hash_score(key, live[i]);
-		if (taken[i] < bound && score >= best_score)
+		if (assigned[i] < bound && score >= best_score)
 		{
 			best = i;
 			best_score = score;
@@ -74,13 +75,13 @@
 	return total;
 }
 
-/* Fills roles with pool, shard and VM. */
+/* Assigns each shard of each pool to a VM. The bound is the mean number of roles, rounded up. */
 static void
 plan_roles(struct comet_node *node, struct comet_role *roles, uint32_t total)
 {
 	size_t n_live = 0;
 	const uint64_t *live = comet_membership_live(node->members, &n_live);
-	uint32_t *taken = talloc_zero_array(node, uint32_t, (unsigned int)n_live);
+	uint32_t *assigned = talloc_zero_array(node, uint32_t, (unsigned int)n_live);
 	uint32_t bound = (uint32_t)((total + n_live - 1) / n_live);
 	uint32_t at = 0;
 
@@ -91,17 +92,17 @@
 		for (uint32_t shard = 0; shard < shards; shard++)
 		{
 			uint64_t key = ((uint64_t)pool_id << 32) | shard;
-			size_t vm = pick_vm(key, live, taken, n_live, bound);
-			taken[vm]++;
+			size_t vm = pick_vm(key, live, assigned, n_live, bound);
+			assigned[vm]++;
 			roles[at++] = (struct comet_role){
 				.pool_id = pool_id, .shard = shard, .vm = live[vm], .node = node};
 		}
 	}
-	talloc_free(taken);
+	talloc_free(assigned);
 }
 
 static void
-take_role(struct comet_node *node, struct comet_role *role, const struct comet_role *old)
+attach_scheduler(struct comet_node *node, struct comet_role *role, const struct comet_role *old)
 {
 	if (role->vm != node->self_id)
 		return;
@@ -111,10 +112,10 @@
 		comet_scheduler_set_bundle(role->scheduler, node->bundle);
 		return;
 	}
-	/* the first scheduler of all has nothing to be told */
-	uint64_t settle = node->now.mono_us + (old != NULL ? SETTLE_US : 0);
-	role->scheduler = comet_scheduler_create(
-		node, node->bundle, role->pool_id, role->shard, &scheduler_ops, role, settle);
+	/* without a previous role, there are no running requests to be reported */
+	uint64_t grant_after_us = node->now.mono_us + (old != NULL ? SCHEDULER_LISTEN_US : 0);
+	role->scheduler = comet_scheduler_create(node, node->bundle, role->pool_id, role->shard,
+		&scheduler_ops, role, grant_after_us);
 }
 
 static void
@@ -144,7 +145,7 @@
 	for (uint32_t i = 0; i < total; i++)
 	{
 		struct comet_role *old = comet_node_role(node, roles[i].pool_id, roles[i].shard);
-		take_role(node, &roles[i], old);
+		attach_scheduler(node, &roles[i], old);
 		if (old != NULL && old->vm == roles[i].vm)
 			continue;
 		node->counts.role_changes++;
@@ -152,7 +153,7 @@
 	}
 	node->roles = roles;
 	node->n_roles = total;
-	/* schedulers report to their role, which has moved in memory */
+	/* the callback context of each scheduler is its role, which is in a new array now */
 	for (uint32_t i = 0; i < total; i++)
 	{
 		if (roles[i].scheduler != NULL)
--- a/libcometspindle/node/node_status.c
+++ b/libcometspindle/node/node_status.c
@@ -1,6 +1,6 @@
 /*
  * node_status.c
- * what one VM tells operators about itself
+ * Status of one VM as JSON, for operators.
  */
 #include <libcometspindle/node/node_status.h>
 
--- a/libcometspindle/node/node_types.h
+++ b/libcometspindle/node/node_types.h
@@ -1,6 +1,6 @@
 /*
  * node_types.h
- * what goes into a node and comes out of it
+ * Input and output types of a node.
  */
 #ifndef COMETSPINDLE_NODE_TYPES_H
 #define COMETSPINDLE_NODE_TYPES_H
@@ -13,7 +13,7 @@
 #include <libcometspindle/verdict.h>
 #include <stdint.h>
 
-/** The two clocks a node is told: one that counts suspension, and the wall clock. */
+/** Time of an input: a monotonic clock that includes suspension, and the wall clock. */
 struct comet_time
 {
 	uint64_t mono_us; /**< CLOCK_BOOTTIME */
@@ -22,23 +22,24 @@
 
 struct comet_node;
 
-/** The outside, as the node sees it. */
+/** Callbacks by which the node sends its output. */
 struct comet_node_ops
 {
-	/** Send packed messages to a VM. blob is a signed bundle or NULL. */
+	/** Sends a packet to a VM. blob is a signed bundle or NULL. */
 	void (*send)(void *ctx, uint64_t vm, const comet_Packet *packet, GBytes *blob);
-	/** Dispatch the request to this endpoint now; answered by comet_node_finished(). */
+	/** Dispatches the request to this endpoint. The caller reports the end by
+	 * comet_node_finished(). */
 	void (*dispatch)(void *ctx, uint64_t request, const struct comet_endpoint *endpoint);
-	/** The request is over without an answer of an endpoint. */
+	/** Refuses the request: it ends without an answer of an endpoint. */
 	void (*refuse)(void *ctx, uint64_t request, enum comet_refusal refusal,
 		enum comet_verdict verdict, uint32_t retry_after_ms);
-	/** A new bundle is in force. */
+	/** Reports that the node adopted a new bundle. */
 	void (*adopted)(void *ctx, struct comet_bundle *bundle);
-	/** The set of VMs that callers may use changed. */
+	/** Reports that the set of VMs that callers may use has changed. */
 	void (*entries_changed)(void *ctx);
 };
 
-/** What a node is made with; strings and key are copied. */
+/** Parameters of a new node. The node copies the strings and the key. */
 struct comet_node_config
 {
 	const char *name;
@@ -47,26 +48,26 @@
 	const uint8_t *bundle_key; /**< Ed25519 public key */
 	uint64_t incarnation;
 	uint32_t max_waiting;
-	uint64_t seed; /**< for draws that must differ between VMs */
+	uint64_t seed; /**< for random choices that must differ between VMs */
 };
 
-/** A request as it is handed to the node. */
+/** A request as submitted to the node. */
 struct comet_submission
 {
 	uint64_t request; /**< unique within this process */
 	uint32_t pool_id;
 	uint32_t team_id;
 	uint32_t tier;
-	uint32_t deadline_ms; /**< from now */
+	uint32_t deadline_ms; /**< relative to the submission */
 	uint32_t prompt_tokens;
 	uint32_t max_output_tokens;
 	struct comet_prefix prefix;
-	bool once;              /**< not to be repeated: a claim on key is needed */
+	bool once;              /**< must run at most once, which needs a claim on key */
 	uint64_t key;           /**< hash of team and idempotency key */
 	uint64_t first_sent_ms; /**< when the caller first sent it */
 };
 
-/** Counters of this VM; monotonic, for metrics. */
+/** Monotonic counters of this VM, for metrics. */
 struct comet_node_counts
 {
 	uint64_t submitted;
--- a/scripts/bench_slopes.py
+++ b/scripts/bench_slopes.py
@@ -88,7 +88,7 @@
         time.sleep(0.2)
         stamps = {}
         for vm, line in fleet.logs():
-            if "event=bundle " in line and wanted in line + " ":
+            if "event=bundle_adopted " in line and wanted in line + " ":
                 hour, minute, second = STAMP.search(line).groups()
                 stamps[vm] = (int(hour) * 60 + int(minute)) * 60 + float(second)
     day = published % 86400
