--- a/tests/unit/test_claims.cc
+++ b/tests/unit/test_claims.cc
@@ -1,6 +1,6 @@
 /*
  * test_claims.cc
- * a key runs at most once, and fails closed where nobody can vouch for it
+ * Tests that each key runs at most once, and that claims fail closed without knowledge of the key.
  */
 #include <gtest/gtest.h>
 #include <set>
@@ -59,7 +59,7 @@
 		COMET_CLAIM_GRANTED);
 }
 
-TEST_F(Claims, APauseIsNotVouchedFor)
+TEST_F(Claims, KeysOlderThanAPauseAreUnsure)
 {
 	struct comet_claims *claims = vm(1);
 
@@ -68,14 +68,14 @@
 		COMET_CLAIM_UNSURE);
 }
 
-TEST_F(Claims, AVmNewInTheGroupIsUnsureOfOlderKeys)
+TEST_F(Claims, ANewGroupMemberIsUnsureOfOlderKeys)
 {
 	list = {1, 2, 3, 4, 5, 6};
 	struct comet_claims *claims = vm(6);
 	uint64_t key = 0;
 	uint64_t group[COMET_CLAIM_GROUP_MAX];
 
-	/* a key whose group leaves out VM 6 until another VM goes */
+	/* finds a key whose claim group contains VM 6 only after VM 1 leaves */
 	for (bool in = true; in;)
 	{
 		in = false;
@@ -100,9 +100,9 @@
 	EXPECT_EQ(comet_claims_record(claims, 7, now + 1001, 9, 1, now), COMET_CLAIM_UNSURE);
 }
 
-TEST(ClaimQuorum, TwoQuorumsMeetThoughListsDiffer)
+TEST(ClaimQuorum, QuorumsOverlapAlthoughListsDiffer)
 {
-	/* two lists of n VMs that differ in up to two places, as a lagging list may */
+	/* two lists of n VMs that differ in up to two entries, as an outdated list may */
 	for (size_t n = 1; n <= 9; n++)
 	{
 		size_t group = n < COMET_CLAIM_GROUP_MAX ? n : COMET_CLAIM_GROUP_MAX;
--- a/tests/unit/test_golden.cc
+++ b/tests/unit/test_golden.cc
@@ -1,8 +1,8 @@
 /*
  * test_golden.cc
- * whole sessions under a virtual clock: every decision line, byte for byte
+ * Compares the complete log of simulated sessions with golden files, byte for byte.
  *
- * COMET_GOLDEN_UPDATE=1 writes the files anew; read the difference before it is kept.
+ * COMET_GOLDEN_UPDATE=1 rewrites the files. Review the differences before committing them.
  */
 #include <cinttypes>
 #include <cstring>
@@ -78,7 +78,7 @@
 
 } // namespace
 
-TEST(Golden, ServesInTurnOnTwoEndpoints)
+TEST(Golden, ServesOnTwoEndpoints)
 {
 	Session session;
 
@@ -89,7 +89,7 @@
 	session.expect("serves_in_turn");
 }
 
-TEST(Golden, TiersGoInOrderUnderPressure)
+TEST(Golden, TiersAreShedInOrderUnderOverload)
 {
 	Session session;
 
@@ -100,7 +100,7 @@
 	session.expect("tiers_in_order");
 }
 
-TEST(Golden, AnEndpointGoesAndIsProbedBack)
+TEST(Golden, AnEjectedEndpointIsProbedAndReturns)
 {
 	Session session;
 
@@ -120,7 +120,7 @@
 	session.expect("endpoint_probed_back");
 }
 
-TEST(Golden, TheSchedulerDiesWhileRequestsWait)
+TEST(Golden, TheSchedulerFailsWhileRequestsWait)
 {
 	Session session;
 
@@ -141,7 +141,7 @@
 	session.expect("scheduler_dies");
 }
 
-TEST(Golden, AClaimNoteIsSentThroughEveryVm)
+TEST(Golden, AOnceOnlyRequestIsSentThroughEveryVm)
 {
 	Session session;
 
@@ -172,7 +172,7 @@
 	session.expect("endpoint_leaves");
 }
 
-TEST(Golden, AQuotaIsSpentAndFillsAgain)
+TEST(Golden, AQuotaIsSpentAndRefilled)
 {
 	Session session;
 
--- a/tests/unit/test_node.cc
+++ b/tests/unit/test_node.cc
@@ -1,6 +1,6 @@
 /*
  * test_node.cc
- * random runs and single scenes of several nodes; invariants hold in all of them
+ * Tests of several simulated nodes, with random faults and in fixed scenarios.
  */
 #include <cstring>
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 
 #include "sim.h"
 
-/* One random run; returns how many requests were answered. */
+/* Runs one random simulation and returns the number of answered requests. */
 static size_t
 random_run(unsigned int seed, size_t *sheds)
 {
@@ -33,7 +33,7 @@
 		}
 		if (sim.draw() % 2 == 0)
 		{
-			/* one claim note, sent through several VMs, at once and later */
+			/* one once-only request, sent through several VMs, immediately and later */
 			uint64_t key = 1000000 + (uint64_t)step;
 			uint64_t sent_ms = sim.time().wall_ms;
 			for (int copy = 0; copy < 3; copy++)
@@ -79,7 +79,7 @@
 	}
 	for (auto &entry : sim.runs_per_key)
 		EXPECT_LE(entry.second, 1) << "seed " << seed << " key " << entry.first;
-	/* what was held by a VM that lives is answered */
+	/* every request held by a live VM is answered */
 	for (auto &vm : sim.vms)
 	{
 		uint32_t waiting[COMET_TIERS_MAX];
@@ -95,7 +95,7 @@
 	return answered;
 }
 
-/* COMET_SEED=N repeats one seed; COMET_SEEDS=N runs more of them. */
+/* COMET_SEED=N runs only seed N. COMET_SEEDS=N sets the number of seeds. */
 TEST(NodeRandom, InvariantsHold)
 {
 	unsigned int first = 1;
@@ -150,7 +150,8 @@
 	sim.publish();
 	GBytes *bundle = g_bytes_ref(sim.bundle);
 	g_bytes_unref(sim.bundle);
-	sim.bundle = nullptr; /* ticks offer nothing: only the peer has it */
+	sim.bundle = nullptr; /* the simulated platform offers no bundle, so only the peer can
+				 provide it */
 	sim.set_lists();
 	ASSERT_TRUE(comet_node_offer_bundle(first->node, bundle, sim.time(), nullptr));
 	sim.run_until(sim.now + 3000000);
@@ -176,7 +177,7 @@
 	g_bytes_unref(old);
 }
 
-TEST(Node, WaitingRequestsOutliveTheDeathOfTheirScheduler)
+TEST(Node, WaitingRequestsSurviveTheFailureOfTheirScheduler)
 {
 	Sim sim(3);
 
@@ -185,7 +186,7 @@
 		sim.add_vm();
 	sim.set_lists();
 	sim.run_until(sim.now + 3000000);
-	/* whoever schedules the pool dies while requests of all VMs wait for it */
+	/* the VM that schedules the pool fails while requests of all VMs wait */
 	for (auto &vm : sim.vms)
 		for (int i = 0; i < 8; i++)
 			sim.submit(vm.get(), 1, 0, 0);
@@ -203,10 +204,10 @@
 	size_t lost = 0;
 	for (auto &entry : sim.fates)
 		lost += entry.second.answers == 0;
-	EXPECT_LE(lost, 8u); /* only those that the dead VM itself held */
+	EXPECT_LE(lost, 8u); /* only requests held by the failed VM */
 }
 
-TEST(Node, APausedVmVouchesForNothingOlderThanItsWaking)
+TEST(Node, APausedVmRefusesKeysFromBeforeItsResumption)
 {
 	Sim sim(1);
 
@@ -241,13 +242,14 @@
 	sim.run_until(sim.now + 3000000);
 	for (int i = 0; i < 8; i++)
 		sim.submit(vm, 1, 0, 0);
-	EXPECT_EQ(
-		comet_node_counts(vm->node)->dispatched, 4u); /* the batch of the one that stays */
+	EXPECT_EQ(comet_node_counts(vm->node)->dispatched,
+		4u); /* batch size of the endpoint that stays */
 	sim.run_until(sim.now + 3000000);
 	EXPECT_EQ(comet_node_counts(vm->node)->dispatched, 8u);
 }
 
-/* Found when a fleet of 15 never became ready: promises from all did not come within a second. */
+/* Regression: a fleet of 15 VMs never became ready, because the shedding promises of all peers did
+ * not arrive within one second. */
 TEST(Node, ALargeFleetBecomesReady)
 {
 	Sim sim(1);
@@ -262,8 +264,9 @@
 		EXPECT_EQ(comet_node_not_ready(vm->node), nullptr) << vm->name;
 }
 
-/* Found by soak seed 8: callers of a VM that was cut off knew no address but its own. */
-TEST(Node, AVmThatHearsNobodyStillSendsCallersToTheOthers)
+/* Regression (soak seed 8): a VM without connection to its peers gave callers only its own address.
+ */
+TEST(Node, AnIsolatedVmStillListsItsPeersForCallers)
 {
 	Sim sim(1);
 
