--- a/tests/system/test_path.py
+++ b/tests/system/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path: every kind of call is served, and bad ones are refused by name."""
+"""End-to-end test: each kind of call is served, and invalid calls get the right error code."""
 import json
 import os
 import socket
@@ -78,7 +78,7 @@
 
 
 def raw(fleet, text, wait=True):
-    """Sends bytes as they are; returns the first line of the answer, if there is one."""
+    """Sends raw bytes and returns the status line of the response, or ""."""
     host, port = fleet.vms["vm1"]["caller"][len("http://"):].split(":")
     with socket.create_connection((host, int(port)), timeout=10) as connection:
         connection.sendall(text)
@@ -90,10 +90,10 @@
             return ""
 
 
-def check_broken_senders(fleet):
-    """Truncated, flooding and garbled senders harm nobody else."""
+def check_malformed_requests(fleet):
+    """Truncated, oversized and malformed requests do not affect other callers."""
     head = "POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 1000\r\n\r\n"
-    raw(fleet, (head + "{").encode(), wait=False)  # left in the middle of its body
+    raw(fleet, (head + "{").encode(), wait=False)  # closes the connection in the middle of the body
     flood = "GET /healthz HTTP/1.1\r\n" + "".join(
         f"X-{i}: {'y' * 200}\r\n" for i in range(500)) + "\r\n"
     status = raw(fleet, flood.encode())
@@ -103,7 +103,7 @@
     slow = [socket.create_connection(
         (fleet.host, int(fleet.vms["vm1"]["caller"].rsplit(":", 1)[1]))) for _ in range(50)]
     for one in slow:
-        one.sendall(head.encode())  # and never the body
+        one.sendall(head.encode())  # the body is never sent
     expect("alive", F.fetch(fleet.vms["vm1"]["caller"] + "/healthz"), b"ok\n")
     check_served(fleet)
     for one in slow:
@@ -122,7 +122,7 @@
         fleet.wait_ready()
         check_served(fleet)
         check_refused(fleet)
-        check_broken_senders(fleet)
+        check_malformed_requests(fleet)
         for name in list(fleet.vms):
             expect("exit of " + name, fleet.end(name, F.signal.SIGTERM), 0)
         for vm, line in fleet.logs():
--- a/tests/system/test_runs.py
+++ b/tests/system/test_runs.py
@@ -1,7 +1,7 @@
-"""How a call's run at an endpoint ends, and what of it may reach the caller or outlive it.
+"""Tests how calls end at an endpoint, and what the caller receives.
 
-The fleet is one real daemon and one scripted endpoint on a real socket: each test says what the
-endpoint does with a request, and looks at what the caller, the endpoint and the metrics saw.
+The fleet is one real daemon and one scripted endpoint on a real socket: each test scripts
+the replies of the endpoint, then checks the caller, the endpoint and the metrics.
 """
 import http.client
 import json
@@ -15,11 +15,11 @@
 sys.path.insert(0, os.path.join(os.path.dirname(os.path.abspath(__file__)), "..", "..", "scripts"))
 import fleet as F  # noqa: E402
 
-# Ends a wait that would last for ever; what is waited for comes within a few ticks of the daemon.
+# Timeout of each wait. The daemon normally needs only a few ticks.
 WAIT_S = 10
-# Longer than any test, so that no deadline ends what a test looks at.
+# Longer than any test, so that no call reaches its deadline.
 DEADLINE_MS = 120000
-# More than the buffers of the sockets and of the daemon hold together.
+# Larger than the socket buffers and the buffers of the daemon together.
 LARGE = b"x" * (32 * 1024 * 1024)
 EVENT = b'data: {"id":"cmpl-1","object":"text_completion","choices":[{"index":0,"text":" t%d"}]}\n\n'
 STREAM = b"".join(EVENT % n for n in range(9)) + b"data: [DONE]\n\n"
@@ -34,7 +34,7 @@
 
 
 class Endpoint:
-    """Answers load reports by itself, and everything else as the script says."""
+    """Scripted endpoint. Load reports are answered without the script."""
 
     def __init__(self, host):
         self.script = None
@@ -81,7 +81,7 @@
 
 
 def play_stream(sock, line, body):
-    """The whole stream, or the rest of it from the offset asked for."""
+    """Sends the stream from the requested offset, by default from the start."""
     offset = int(line.split("offset=")[1].split()[0]) if "offset=" in line else 0
     sock.sendall(STREAM_HEAD + chunk(STREAM[offset:]) + b"0\r\n\r\n")
 
@@ -125,7 +125,7 @@
 
 
 def read(connection):
-    """Status, headers, body, and whether the answer ended as it should."""
+    """Returns status, headers, body, and whether the response was complete."""
     answer = connection.getresponse()
     try:
         return answer.status, answer.headers, answer.read(), True
@@ -134,24 +134,24 @@
 
 
 def test_error_answer_is_whole(world):
-    """An endpoint's error answer to a streaming call was taken for a stream that was cut.
+    """An endpoint's error answer to a streaming call was handled as an interrupted stream.
 
-    The daemon asked three times for the rest of it and ended the caller's answer as broken:
-    event=resume url=http://127.6.143.2:36459/v1/streams/25e7cef9.000d69100000 offset=20
+    The daemon tried three times to resume it (event=resume offset=20) and ended the caller's
+    response as incomplete.
     """
     body = b'{"error":"bad body"}'
     world.endpoint.script = lambda sock, line, got: sock.sendall(sized(400, body))
     status, headers, got, whole = read(world.complete())
     assert (status, got, whole) == (400, body, True), (status, got, whole)
     assert world.endpoint.seen == ["POST /v1/completions"], world.endpoint.seen
-    assert headers["Comet-Resume"] is None  # there is no stream to go on with
+    assert headers["Comet-Resume"] is None  # there is no stream to resume
 
 
 def test_caller_resumes_within_final_mark(world):
-    """A caller whose connection broke in or after the final mark could never end its stream.
+    """A caller that lost its connection in or after the final marker could not complete its stream.
 
-    The rest that the endpoint sends then holds no whole mark, so that each resume of the caller,
-    at any VM, was ended as broken: offset=792 of 797 bytes gave b'NE]\\n\\n' and an error.
+    The remaining bytes then contain no complete marker, so every resume at any VM ended as
+    incomplete: offset=792 of 797 bytes gave b'NE]\\n\\n' and an error.
     """
     world.endpoint.script = play_stream
     status, headers, got, whole = read(world.complete())
@@ -167,9 +167,9 @@
 
 
 def test_resume_of_a_lost_stream_is_told(world):
-    """The endpoint's process started again and knows no stream: the caller is told so, whole.
+    """After a restart of the endpoint, a resume gets the complete 404 response of the endpoint.
 
-    The 404 came as 404, but ended as a broken answer: not to be told from one that may go on.
+    The 404 response was ended as incomplete, so the caller could not tell that a retry is useless.
     """
     world.endpoint.script = play_stream
     token = read(world.complete())[1]["Comet-Resume"]
@@ -180,11 +180,11 @@
 
 
 def test_caller_leaves_after_a_refusal(world):
-    """A call that an endpoint refused waits again; when its caller left, it was kept waiting.
+    """A refused call that waited for a retry stayed queued after its caller disconnected.
 
-    The endpoint of the refused dispatch stayed noted with the call, so its leaving was reported
-    as the end of a dispatch, which the node passes over for a request that waits: it held its
-    place in the queue, and its tier's count, until its deadline (comet_waiting stayed 1).
+    The call kept the endpoint of the refused dispatch, so the disconnect was reported as the end
+    of a dispatch, which the node ignores for a waiting request. The request stayed in the queue
+    and in the count of its tier until its deadline (comet_waiting stayed 1).
     """
     release = threading.Event()
 
@@ -196,7 +196,7 @@
         release.wait(DEADLINE_MS / 1000)
 
     world.endpoint.script = script
-    holds = world.complete()  # holds the place that the refused one would need
+    holds = world.complete()  # occupies the slot that the refused call needs
     holds.getresponse()
     refused = world.complete(prompt="refuse")
     wait_for("refused and waiting", lambda: world.metric("comet_retries_total") >= 1 and
@@ -209,10 +209,10 @@
 
 
 def test_once_call_is_refused_after_its_caller_left(world):
-    """A once-only call goes on when its caller leaves; refused then, it was never forgotten.
+    """A once-only call that was refused after its caller disconnected was never removed.
 
-    The dispatch that follows a refusal found nobody to serve and gave the grant back, and the
-    call stayed open for ever (comet_calls_open 1), so that a planned stop waited for it in vain.
+    The dispatch after the refusal found no caller and returned the grant, but the call stayed open
+    (comet_calls_open 1), so a planned stop waited for it forever.
     """
     release = threading.Event()
 
@@ -224,23 +224,23 @@
     caller = world.once("k1")
     wait_for("sent", lambda: world.endpoint.seen)
     caller.close()
-    time.sleep(0.5)  # a few of the sweeps by which callers that left are noticed
+    time.sleep(0.5)  # several sweeps for disconnected callers
     release.set()
     wait_for("forgotten", lambda: world.metric("comet_calls_open") == 0)
 
 
-def held_back(world):
-    """Whether bytes wait for the caller, and no more of them come."""
+def is_stalled(world):
+    """True if bytes are buffered for the caller and their number does not change."""
     held = world.metric("comet_buffered_bytes")
     time.sleep(0.5)
     return held > 0 and world.metric("comet_buffered_bytes") == held
 
 
 def test_once_call_whose_slow_caller_leaves(world):
-    """A once-only call runs to its end for its own sake, also when its answer is held back.
+    """A once-only call runs to its end, even if its caller disconnects while reading slowly.
 
-    Its endpoint is paused while a slow caller has enough to read; when that caller left, nobody
-    ever let the endpoint go on: it hung in its writing until the call's hard end, a minute after
+    The daemon stops reading from the endpoint while the caller is slow. After the disconnect,
+    reading was never resumed: the endpoint blocked until the hard end of the call, a minute after
     its deadline, and the call counted as failed.
     """
     done = threading.Event()
@@ -252,7 +252,7 @@
     world.endpoint.script = script
     caller = world.once("k2")
     caller.getresponse().read(1000)
-    wait_for("held back", lambda: held_back(world))
+    wait_for("held back", lambda: is_stalled(world))
     caller.sock.close()
     caller.close()
     wait_for("the endpoint could write all", done.is_set)
@@ -261,10 +261,10 @@
 
 
 def test_silent_stream_whose_caller_leaves(world):
-    """A caller that left a stream was noticed only when its endpoint sent the next event.
+    """The disconnect of a caller was noticed only when the endpoint sent the next event.
 
-    Its connection was looked at while it waited for data, and then set aside to wait again: a
-    silent endpoint kept the run, and the call its place, until the call's hard end.
+    The connection was checked while it waited for data and then suspended again, so with a silent
+    endpoint the run and its slot lasted until the hard end of the call.
     """
     left = threading.Event()
 
@@ -283,7 +283,7 @@
 
 
 def test_silent_resumed_stream_whose_caller_leaves(world):
-    """The same for a stream that its caller resumed: such calls were not looked at."""
+    """The disconnect was not noticed on resumed streams, because the sweep skipped them."""
     left = threading.Event()
 
     def script(sock, line, body):
@@ -302,8 +302,8 @@
     wait_for("forgotten", lambda: world.metric("comet_calls_open") == 0)
 
 
-def keep_no_freed_memory(world):
-    """Starts the daemon again so that a sanitizer, which sets freed memory aside, sets little aside."""
+def restart_with_small_quarantine(world):
+    """Restarts the daemon with a small sanitizer quarantine, which retains freed memory."""
     options = os.environ.get("ASAN_OPTIONS", "")
     os.environ["ASAN_OPTIONS"] = options + ":quarantine_size_mb=1:thread_local_quarantine_size_kb=64"
     world.fleet.end("vm1")
@@ -313,13 +313,13 @@
 
 
 def test_slow_caller_of_a_large_answer(world):
-    """What a slow caller has read was kept until it had read all that came.
+    """Data already read by a slow caller was freed only after the caller had read everything.
 
-    At most 80 KiB wait for a caller, but with a slow one there always are some, and what went
-    before them was freed only when there were none: 8 MiB read took 8 MiB of memory, 56 MiB read
-    took 60 (comet_resident_bytes 78,365,000 for 15,856,000 at the start, comet_buffered_bytes 77,686).
+    At most 80 KiB wait for a caller, but the buffer of a slow caller is never empty, and sent data
+    was freed only when it was: 8 MiB read took 8 MiB of memory, 56 MiB read took 60 MiB
+    (comet_resident_bytes 78,365,000 for 15,856,000 at the start, comet_buffered_bytes 77,686).
     """
-    keep_no_freed_memory(world)
+    restart_with_small_quarantine(world)
     world.endpoint.script = lambda sock, line, body: sock.sendall(sized(200, LARGE * 2))
     caller = world.once("k3")
     answer = caller.getresponse()
@@ -327,8 +327,8 @@
     before = world.metric("comet_resident_bytes")
     for _ in range(30):
         answer.read(1024 * 1024)
-        time.sleep(0.02)  # slow: bytes wait for it all the time
-    time.sleep(0.5)  # metrics are published now and then
+        time.sleep(0.02)  # slow, so that the buffer is never empty
+    time.sleep(0.5)  # metrics are published periodically
     grown = world.metric("comet_resident_bytes") - before
     assert grown < 16 * 1024 * 1024, f"{grown / 1024 / 1024:.1f} MiB more after 30 MiB"
 
