--- a/libcometspindle/node/node.c
+++ b/libcometspindle/node/node.c
@@ -91,7 +91,7 @@
 		node, node->self_id, config->incarnation, &membership_ops, node);
 	node->claims = comet_claims_create(node, node->self_id, now.wall_ms);
 	node->quota = comet_quota_create(node);
-	comet_load_shedding_init(&node->floor, COMET_TIERS_MAX);
+	comet_load_shedding_init(&node->shedding, COMET_TIERS_MAX);
 	node->requests = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
 	node->output_ratios = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
 	node->reported = g_hash_table_new(g_direct_hash, g_direct_equal);
@@ -159,11 +159,11 @@
 	node->last_tick_us = now.mono_us;
 	if (gap_us > PAUSE_THRESHOLD_US)
 		handle_pause(node, gap_us);
-	comet_membership_set_eager(node->members, node->bundle != NULL && !node->floor.joined);
+	comet_membership_set_eager(node->members, node->bundle != NULL && !node->shedding.joined);
 	comet_membership_tick(node->members, now.mono_us);
 	members = comet_membership_all(node->members, &count);
 	if (node->bundle != NULL && node->n_vm_ids > 0)
-		comet_load_shedding_tick(&node->floor, members, count, now.mono_us);
+		comet_load_shedding_tick(&node->shedding, members, count, now.mono_us);
 	comet_node_tick_requests(node);
 	tick_schedulers(node);
 	comet_node_fetch_bundle(node);
@@ -219,7 +219,7 @@
 		return "this VM is not in the VM list of the platform";
 	if (!all_peers_seen(node) && node->last_tick_us - node->started_us < PEER_WAIT_MAX_US)
 		return "waiting for peers to report their bundle versions";
-	if (!node->floor.joined)
+	if (!node->shedding.joined)
 		return "waiting for peers to report which tiers are being shed";
 	if (node->stopping)
 		return "stopping";
--- a/libcometspindle/node/node_admit.c
+++ b/libcometspindle/node/node_admit.c
@@ -29,9 +29,9 @@
 {
 	uint32_t tier = request->submission.tier;
 
-	if (tier < node->floor.shed_from)
+	if (tier < node->shedding.shed_from)
 		comet_violation(
-			"shed_above_floor", "tier=%u shed_from=%u", tier, node->floor.shed_from);
+			"shed_above_floor", "tier=%u shed_from=%u", tier, node->shedding.shed_from);
 	if (lowest_waiting_tier(node) > tier)
 		comet_violation("shed_inversion", "tier=%u lowest_waiting=%u", tier,
 			lowest_waiting_tier(node));
@@ -69,8 +69,8 @@
 	while (node->waiting_total > node->max_waiting)
 	{
 		uint32_t lowest = lowest_waiting_tier(node);
-		comet_load_shedding_request(&node->floor, lowest, node->now.mono_us);
-		if (lowest < node->floor.shed_from)
+		comet_load_shedding_request(&node->shedding, lowest, node->now.mono_us);
+		if (lowest < node->shedding.shed_from)
 			return;
 		comet_request_shed(node, newest_of_tier(node, lowest));
 	}
--- a/libcometspindle/node/node_bundle.c
+++ b/libcometspindle/node/node_bundle.c
@@ -27,7 +27,7 @@
 	comet_claims_set_limits(
 		node->claims, bundle->limits.key_lifetime_s, bundle->limits.clock_skew_ms);
 	if (before == 0)
-		comet_load_shedding_init(&node->floor, bundle->n_tiers);
+		comet_load_shedding_init(&node->shedding, bundle->n_tiers);
 	comet_log(COMET_LOG_NOTICE, "event=bundle_adopted version=%" PRIu64 " was=%" PRIu64,
 		bundle->version, before);
 	comet_node_assign_roles(node, comet_node_resend_requests);
--- a/libcometspindle/node/node_holder.c
+++ b/libcometspindle/node/node_holder.c
@@ -29,7 +29,7 @@
 	comet_request_count(node, request, 1);
 	node->counts.submitted++;
 	node->retry_budget = MIN(node->retry_budget + RETRY_BUDGET_RATIO, RETRY_BUDGET_MAX);
-	if (node->bundle == NULL || !node->floor.joined)
+	if (node->bundle == NULL || !node->shedding.joined)
 	{
 		comet_request_refuse(node, request, COMET_REFUSAL_NOT_READY, COMET_VERDICT_NOT_RUN);
 		return;
@@ -37,7 +37,7 @@
 	double ratio = *comet_node_output_ratio(node, submission->team_id, submission->pool_id);
 	request->output_tokens = 1 + (uint32_t)(submission->max_output_tokens * ratio);
 	request->shard = comet_node_pick_shard(node, submission);
-	if (submission->tier >= node->floor.keep_below)
+	if (submission->tier >= node->shedding.keep_below)
 	{
 		comet_request_shed(node, request);
 		return;
@@ -222,7 +222,7 @@
 		comet_request_refuse(node, request, COMET_REFUSAL_DEADLINE,
 			request->state == COMET_REQUEST_CLAIMING ? COMET_VERDICT_MAY_HAVE_RUN
 								 : COMET_VERDICT_NOT_RUN);
-	else if (request->submission.tier >= node->floor.keep_below)
+	else if (request->submission.tier >= node->shedding.keep_below)
 		comet_request_shed(node, request);
 	else if (request->state == COMET_REQUEST_CLAIMING && now_us >= request->step_deadline_us)
 		comet_request_refuse(
--- a/libcometspindle/node/node_outbox.c
+++ b/libcometspindle/node/node_outbox.c
@@ -48,8 +48,8 @@
 comet_node_fill_ping(struct comet_node *node, comet_Ping *ping)
 {
 	ping->bundle_version = node->bundle != NULL ? node->bundle->version : 0;
-	ping->keep_below = node->floor.keep_promised;
-	ping->shed_from = node->floor.shed_promised;
-	ping->want_floor = node->floor.want;
+	ping->keep_below = node->shedding.keep_promised;
+	ping->shed_from = node->shedding.shed_promised;
+	ping->want_floor = node->shedding.want;
 	comet_membership_fill(node->members, ping);
 }
--- a/libcometspindle/node/node_state.h
+++ b/libcometspindle/node/node_state.h
@@ -87,7 +87,7 @@
 	uint64_t started_us;
 	struct comet_membership *members;
 	struct comet_claims *claims;
-	struct comet_load_shedding floor;
+	struct comet_load_shedding shedding;
 	struct comet_quota *quota;
 	struct comet_role *roles;
 	uint32_t n_roles;
--- a/libcometspindle/node/node_status.c
+++ b/libcometspindle/node/node_status.c
@@ -99,8 +99,8 @@
 	if (not_ready != NULL)
 		json_object_object_add(root, "not_ready", json_object_new_string(not_ready));
 	add_u64(root, "violations", comet_violation_count());
-	add_u64(root, "keep_below", node->floor.keep_below);
-	add_u64(root, "shed_from", node->floor.shed_from);
+	add_u64(root, "keep_below", node->shedding.keep_below);
+	add_u64(root, "shed_from", node->shedding.shed_from);
 	add_u64(root, "held", g_hash_table_size(node->requests));
 	struct json_object *waiting = json_object_new_array();
 	for (uint32_t tier = 0; node->bundle != NULL && tier < node->bundle->n_tiers; tier++)
