--- a/libcometspindle/adapters/callers/http_server.c
+++ b/libcometspindle/adapters/callers/http_server.c
@@ -62,7 +62,7 @@
 struct connection
 {
 	struct comet_http_server_request request; /* first member: a request is its connection */
-	struct comet_http_server *front;
+	struct comet_http_server *http_server;
 	struct comet_socket *socket;
 	struct comet_http_reader *reader;
 	struct comet_timer *timer;
@@ -99,8 +99,8 @@
 static int
 connection_destroy(struct connection *connection)
 {
-	g_hash_table_remove(connection->front->connections, connection);
-	connection->front->counts.connections--;
+	g_hash_table_remove(connection->http_server->connections, connection);
+	connection->http_server->counts.connections--;
 	g_byte_array_free(connection->ahead, TRUE);
 	g_byte_array_free(connection->body, TRUE);
 	return 0;
@@ -122,7 +122,7 @@
 	connection->state = CONNECTION_LINGERING;
 	comet_timer_cancel(&connection->timer);
 	connection->timer = comet_timers_add(
-		connection->front->timers, connection, LINGER_US, on_linger_over, connection);
+		connection->http_server->timers, connection, LINGER_US, on_linger_over, connection);
 }
 
 static void
@@ -150,8 +150,8 @@
 {
 	connection->unsent_bytes = comet_socket_queued(connection->socket);
 	comet_timer_cancel(&connection->timer);
-	connection->timer = comet_timers_add(
-		connection->front->timers, connection, STALLED_US, on_progress_due, connection);
+	connection->timer = comet_timers_add(connection->http_server->timers, connection,
+		STALLED_US, on_progress_due, connection);
 }
 
 /* No further request is taken from this connection. */
@@ -188,7 +188,7 @@
 	 */
 	if (is_read(connection) && comet_socket_has_pending_events(connection->socket))
 	{
-		set_timer(connection, connection->front->limits.header_timeout_ms);
+		set_timer(connection, connection->http_server->limits.header_timeout_ms);
 		return;
 	}
 	if (connection->got_byte && !connection->complete)
@@ -205,7 +205,7 @@
 {
 	comet_timer_cancel(&connection->timer);
 	if (delay_ms > 0)
-		connection->timer = comet_timers_add(connection->front->timers, connection,
+		connection->timer = comet_timers_add(connection->http_server->timers, connection,
 			delay_ms * 1000, on_timeout, connection);
 }
 
@@ -229,7 +229,7 @@
 
 	connection->too_large =
 		connection->too_large ||
-		connection->body->len + length > connection->front->limits.body_bytes;
+		connection->body->len + length > connection->http_server->limits.body_bytes;
 	if (!connection->too_large)
 		g_byte_array_append(connection->body, (const guint8 *)data, (guint)length);
 }
@@ -250,7 +250,7 @@
 static void
 refuse_malformed(struct connection *connection, unsigned int status)
 {
-	connection->front->counts.malformed++;
+	connection->http_server->counts.malformed++;
 	connection->keep_alive = false;
 	connection->state = CONNECTION_OPEN;
 	comet_http_server_respond(&connection->request, status, NULL, "", 0);
@@ -259,14 +259,14 @@
 static void
 hand_over(struct connection *connection)
 {
-	struct comet_http_server *front = connection->front;
+	struct comet_http_server *http_server = connection->http_server;
 
 	comet_timer_cancel(&connection->timer);
 	connection->state = CONNECTION_OPEN;
 	connection->request.body = connection->body;
 	connection->request.user = NULL;
-	front->counts.requests++;
-	front->events->request(front->ctx, &connection->request);
+	http_server->counts.requests++;
+	http_server->events->request(http_server->ctx, &connection->request);
 }
 
 /* Parses what has arrived. @return false when there is nothing more to do now. */
@@ -283,7 +283,7 @@
 	{
 		connection->got_byte = true;
 		connection->request.received_us = comet_timers_now_us();
-		set_timer(connection, connection->front->limits.header_timeout_ms);
+		set_timer(connection, connection->http_server->limits.header_timeout_ms);
 	}
 	result = comet_http_reader_feed(connection->reader, (const char *)connection->ahead->data,
 		connection->ahead->len, &taken);
@@ -299,7 +299,7 @@
 		if (connection->complete)
 			hand_over(connection);
 		else if (connection->got_head)
-			set_timer(connection, connection->front->limits.idle_timeout_ms);
+			set_timer(connection, connection->http_server->limits.idle_timeout_ms);
 	}
 	return true;
 }
@@ -333,13 +333,13 @@
 on_closed(void *ctx, bool orderly)
 {
 	struct connection *connection = ctx;
-	struct comet_http_server *front = connection->front;
+	struct comet_http_server *http_server = connection->http_server;
 
 	(void)orderly;
 	if (connection->state == CONNECTION_OPEN)
 	{
-		front->counts.left++;
-		front->events->gone(front->ctx, &connection->request);
+		http_server->counts.left++;
+		http_server->events->gone(http_server->ctx, &connection->request);
 	}
 	drop(connection);
 }
@@ -348,10 +348,10 @@
 on_drained(void *ctx)
 {
 	struct connection *connection = ctx;
-	struct comet_http_server *front = connection->front;
+	struct comet_http_server *http_server = connection->http_server;
 
-	if (connection->state == CONNECTION_OPEN && front->events->drained != NULL)
-		front->events->drained(front->ctx, &connection->request);
+	if (connection->state == CONNECTION_OPEN && http_server->events->drained != NULL)
+		http_server->events->drained(http_server->ctx, &connection->request);
 	else if (connection->state == CONNECTION_READING)
 		read_on(connection);
 	else if (connection->state == CONNECTION_ENDING)
@@ -362,72 +362,72 @@
 	.data = on_data, .closed = on_closed, .drained = on_drained};
 
 static void
-take_connection(struct comet_http_server *front, int fd)
+take_connection(struct comet_http_server *http_server, int fd)
 {
-	struct connection *connection = talloc_zero(front, struct connection);
+	struct connection *connection = talloc_zero(http_server, struct connection);
 
-	connection->front = front;
+	connection->http_server = http_server;
 	connection->ahead = g_byte_array_new();
 	connection->body = g_byte_array_new();
 	connection->reader = comet_http_reader_create(
-		connection, true, front->limits.header_bytes, &reader_events, connection);
+		connection, true, http_server->limits.header_bytes, &reader_events, connection);
 	connection->socket =
-		comet_socket_accepted(connection, front->ev, fd, &socket_events, connection);
-	comet_socket_count(connection->socket, front->bytes);
-	front->counts.accepted++;
-	front->counts.connections++;
-	g_hash_table_add(front->connections, connection);
+		comet_socket_accepted(connection, http_server->ev, fd, &socket_events, connection);
+	comet_socket_count(connection->socket, http_server->bytes);
+	http_server->counts.accepted++;
+	http_server->counts.connections++;
+	g_hash_table_add(http_server->connections, connection);
 	talloc_set_destructor(connection, connection_destroy);
-	set_timer(connection, front->limits.idle_timeout_ms);
+	set_timer(connection, http_server->limits.idle_timeout_ms);
 }
 
 static void
 on_accept_again(void *ctx)
 {
-	struct comet_http_server *front = ctx;
+	struct comet_http_server *http_server = ctx;
 
-	front->accept_again = NULL;
-	if (front->listener != NULL)
-		tevent_fd_set_flags(front->listener, TEVENT_FD_READ);
+	http_server->accept_again = NULL;
+	if (http_server->listener != NULL)
+		tevent_fd_set_flags(http_server->listener, TEVENT_FD_READ);
 }
 
 static void
 on_acceptable(struct tevent_context *ev, struct tevent_fd *event, uint16_t flags, void *data)
 {
-	struct comet_http_server *front = data;
+	struct comet_http_server *http_server = data;
 
 	(void)ev;
 	(void)flags;
 	for (int i = 0; i < ACCEPTS_PER_TURN; i++)
 	{
-		int fd = accept4(front->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
+		int fd = accept4(http_server->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
 		if (fd >= 0)
 		{
-			take_connection(front, fd);
+			take_connection(http_server, fd);
 			continue;
 		}
 		if (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR ||
 			errno == ECONNABORTED)
 			return;
 		comet_log(COMET_LOG_WARNING, "event=accept_failed error=\"%s\" open=%u",
-			g_strerror(errno), front->counts.connections);
+			g_strerror(errno), http_server->counts.connections);
 		tevent_fd_set_flags(event, 0);
-		front->accept_again = comet_timers_add(
-			front->timers, front, ACCEPT_RETRY_US, on_accept_again, front);
+		http_server->accept_again = comet_timers_add(http_server->timers, http_server,
+			ACCEPT_RETRY_US, on_accept_again, http_server);
 		return;
 	}
 }
 
 static int
-front_destroy(struct comet_http_server *front)
+http_server_destroy(struct comet_http_server *http_server)
 {
-	GList *all = g_hash_table_get_keys(front->connections);
+	GList *all = g_hash_table_get_keys(http_server->connections);
 
 	for (GList *at = all; at != NULL; at = at->next)
 		talloc_free(at->data); /* takes itself out of the table */
 	g_list_free(all);
-	g_hash_table_destroy(front->connections);
-	comet_http_server_stop_listening(front);
+	g_hash_table_destroy(http_server->connections);
+	comet_http_server_stop_listening(http_server);
 	return 0;
 }
 
@@ -451,59 +451,60 @@
 			g_strerror(errno));
 		return NULL;
 	}
-	struct comet_http_server *front = talloc_zero(parent, struct comet_http_server);
-	front->ev = ev;
-	front->timers = timers;
-	front->events = events;
-	front->ctx = ctx;
-	front->fd = fd;
-	front->connections = g_hash_table_new(NULL, NULL);
-	front->listener = tevent_add_fd(ev, front, fd, TEVENT_FD_READ, on_acceptable, front);
-	talloc_set_destructor(front, front_destroy);
-	return front;
+	struct comet_http_server *http_server = talloc_zero(parent, struct comet_http_server);
+	http_server->ev = ev;
+	http_server->timers = timers;
+	http_server->events = events;
+	http_server->ctx = ctx;
+	http_server->fd = fd;
+	http_server->connections = g_hash_table_new(NULL, NULL);
+	http_server->listener =
+		tevent_add_fd(ev, http_server, fd, TEVENT_FD_READ, on_acceptable, http_server);
+	talloc_set_destructor(http_server, http_server_destroy);
+	return http_server;
 }
 
 void
 comet_http_server_set_byte_counters(
-	struct comet_http_server *front, struct comet_byte_counters *bytes)
+	struct comet_http_server *http_server, struct comet_byte_counters *bytes)
 {
-	front->bytes = bytes;
+	http_server->bytes = bytes;
 }
 
 void
 comet_http_server_set_limits(
-	struct comet_http_server *front, const struct comet_http_limits *limits)
+	struct comet_http_server *http_server, const struct comet_http_limits *limits)
 {
 	GHashTableIter at;
 	gpointer connection = NULL;
 
-	front->limits = *limits;
-	g_hash_table_iter_init(&at, front->connections);
+	http_server->limits = *limits;
+	g_hash_table_iter_init(&at, http_server->connections);
 	while (g_hash_table_iter_next(&at, &connection, NULL))
 		comet_http_reader_set_max_head(
 			((struct connection *)connection)->reader, limits->header_bytes);
 }
 
 void
-comet_http_server_set_draining(struct comet_http_server *front)
+comet_http_server_set_draining(struct comet_http_server *http_server)
 {
-	front->closing = true;
+	http_server->closing = true;
 }
 
 void
-comet_http_server_stop_listening(struct comet_http_server *front)
+comet_http_server_stop_listening(struct comet_http_server *http_server)
 {
-	if (front->listener == NULL)
+	if (http_server->listener == NULL)
 		return;
-	comet_timer_cancel(&front->accept_again);
-	TALLOC_FREE(front->listener);
-	close(front->fd);
+	comet_timer_cancel(&http_server->accept_again);
+	TALLOC_FREE(http_server->listener);
+	close(http_server->fd);
 }
 
 void
-comet_http_server_close_idle(struct comet_http_server *front)
+comet_http_server_close_idle(struct comet_http_server *http_server)
 {
-	GList *all = g_hash_table_get_keys(front->connections);
+	GList *all = g_hash_table_get_keys(http_server->connections);
 
 	for (GList *at = all; at != NULL; at = at->next)
 	{
@@ -515,19 +516,19 @@
 }
 
 const struct comet_http_server_counts *
-comet_http_server_counts(const struct comet_http_server *front)
+comet_http_server_counts(const struct comet_http_server *http_server)
 {
-	return &front->counts;
+	return &http_server->counts;
 }
 
 size_t
-comet_http_server_unsent_bytes(const struct comet_http_server *front)
+comet_http_server_unsent_bytes(const struct comet_http_server *http_server)
 {
 	GHashTableIter at;
 	gpointer connection = NULL;
 	size_t bytes = 0;
 
-	g_hash_table_iter_init(&at, front->connections);
+	g_hash_table_iter_init(&at, http_server->connections);
 	while (g_hash_table_iter_next(&at, &connection, NULL))
 		bytes += comet_socket_queued(((struct connection *)connection)->socket);
 	return bytes;
@@ -549,7 +550,7 @@
 	bool head_only =
 		head != NULL && strcmp(head->method != NULL ? head->method : "", "HEAD") == 0;
 
-	if (connection->front->closing)
+	if (connection->http_server->closing)
 		connection->keep_alive = false;
 	connection->started = true;
 	connection->no_body = head_only || status == 204 || status == 304;
@@ -606,7 +607,7 @@
 		comet_socket_write(connection->socket, "0\r\n\r\n", 5);
 	/* One that was told it may stay is closed all the same once nothing more is accepted: what
 	 * it sends from now on would be taken by a process that is about to end. */
-	if (!connection->keep_alive || connection->front->listener == NULL)
+	if (!connection->keep_alive || connection->http_server->listener == NULL)
 	{
 		end_connection(connection);
 		return;
@@ -619,7 +620,7 @@
 	connection->too_large = false;
 	connection->request.head = NULL;
 	g_byte_array_set_size(connection->body, 0);
-	set_timer(connection, connection->front->limits.idle_timeout_ms);
+	set_timer(connection, connection->http_server->limits.idle_timeout_ms);
 	read_on(connection);
 }
 
--- a/libcometspindle/adapters/callers/http_server.h
+++ b/libcometspindle/adapters/callers/http_server.h
@@ -58,30 +58,30 @@
 /** Counts the bytes of connections that are accepted from now on. */
 void
 comet_http_server_set_byte_counters(
-	struct comet_http_server *front, struct comet_byte_counters *bytes);
+	struct comet_http_server *http_server, struct comet_byte_counters *bytes);
 
 void
 comet_http_server_set_limits(
-	struct comet_http_server *front, const struct comet_http_limits *limits);
+	struct comet_http_server *http_server, const struct comet_http_limits *limits);
 
 /** From now on answers ask callers to close, and idle connections end with their next answer. */
 void
-comet_http_server_set_draining(struct comet_http_server *front);
+comet_http_server_set_draining(struct comet_http_server *http_server);
 
 /** Stops accepting connections; those that are open end with the answer under way. */
 void
-comet_http_server_stop_listening(struct comet_http_server *front);
+comet_http_server_stop_listening(struct comet_http_server *http_server);
 
 /** Closes connections that carry no request. */
 void
-comet_http_server_close_idle(struct comet_http_server *front);
+comet_http_server_close_idle(struct comet_http_server *http_server);
 
 const struct comet_http_server_counts *
-comet_http_server_counts(const struct comet_http_server *front);
+comet_http_server_counts(const struct comet_http_server *http_server);
 
 /** Bytes of answers that wait for slow readers, on all connections. */
 size_t
-comet_http_server_unsent_bytes(const struct comet_http_server *front);
+comet_http_server_unsent_bytes(const struct comet_http_server *http_server);
 
 /** Its connection ends with this answer; to be called before it is started. */
 void
--- a/libcometspindle/adapters/daemon/daemon.c
+++ b/libcometspindle/adapters/daemon/daemon.c
@@ -251,7 +251,7 @@
 	struct comet_daemon *daemon = ctx;
 
 	if (!comet_bundle_pool(comet_node_bundle(daemon->node), endpoint->pools[0])->is_service)
-		comet_load_poller_poll(daemon->reports, endpoint);
+		comet_load_poller_poll(daemon->load_poller, endpoint);
 }
 
 /* For fault tests: the file names the VMs that this one is cut off from, one a line. */
@@ -482,7 +482,7 @@
 	daemon->snapshot_publisher = comet_snapshot_publisher_create(daemon->ev);
 	daemon->mailbox = comet_mailbox_create(daemon->ev, daemon->ev, on_control, daemon);
 	daemon->curl = comet_curl_loop_create(daemon->ev, daemon->ev);
-	daemon->reports = comet_load_poller_create(daemon->ev, daemon->curl, on_report, daemon);
+	daemon->load_poller = comet_load_poller_create(daemon->ev, daemon->curl, on_report, daemon);
 	daemon->peers = comet_peers_create(daemon->ev, daemon->ev, daemon->self_id,
 		daemon->settings->peer_endpoint, peer_key, on_packet, daemon, error);
 	sodium_memzero(peer_key, strlen(peer_key));
@@ -527,7 +527,7 @@
 	for (uint32_t i = 0; i < daemon->n_workers; i++)
 		comet_worker_destroy(daemon->worker[i]);
 	/* polls and watches end before the loop that carries them */
-	TALLOC_FREE(daemon->reports);
+	TALLOC_FREE(daemon->load_poller);
 	TALLOC_FREE(daemon->curl);
 	TALLOC_FREE(daemon->platform);
 	talloc_free(daemon->ev);
--- a/libcometspindle/adapters/daemon/daemon_private.h
+++ b/libcometspindle/adapters/daemon/daemon_private.h
@@ -20,7 +20,7 @@
 	struct comet_peers *peers;
 	struct comet_curl_loop *curl;
 	struct comet_platform *platform;
-	struct comet_load_poller *reports;
+	struct comet_load_poller *load_poller;
 	struct comet_mailbox *mailbox;
 	struct comet_snapshot_publisher *snapshot_publisher;
 	struct tevent_immediate *flush;
--- a/libcometspindle/adapters/endpoints/load_poller.c
+++ b/libcometspindle/adapters/endpoints/load_poller.c
@@ -17,7 +17,7 @@
 
 struct poll
 {
-	struct comet_load_poller *reports;
+	struct comet_load_poller *load_poller;
 	uint32_t endpoint_id;
 	CURL *easy;
 	bool busy;
@@ -39,15 +39,15 @@
 	struct poll *poll = data;
 
 	if (poll->busy)
-		comet_curl_loop_remove(poll->reports->loop, poll->easy);
+		comet_curl_loop_remove(poll->load_poller->loop, poll->easy);
 	curl_easy_cleanup(poll->easy);
 	g_free(poll);
 }
 
 static int
-reports_destructor(struct comet_load_poller *reports)
+load_poller_destructor(struct comet_load_poller *load_poller)
 {
-	g_hash_table_destroy(reports->polls);
+	g_hash_table_destroy(load_poller->polls);
 	return 0;
 }
 
@@ -55,14 +55,15 @@
 comet_load_poller_create(
 	void *parent, struct comet_curl_loop *loop, comet_load_poller_handler handler, void *ctx)
 {
-	struct comet_load_poller *reports = talloc_zero(parent, struct comet_load_poller);
-
-	reports->loop = loop;
-	reports->handler = handler;
-	reports->ctx = ctx;
-	reports->polls = g_hash_table_new_full(g_direct_hash, g_direct_equal, NULL, poll_destroy);
-	talloc_set_destructor(reports, reports_destructor);
-	return reports;
+	struct comet_load_poller *load_poller = talloc_zero(parent, struct comet_load_poller);
+
+	load_poller->loop = loop;
+	load_poller->handler = handler;
+	load_poller->ctx = ctx;
+	load_poller->polls =
+		g_hash_table_new_full(g_direct_hash, g_direct_equal, NULL, poll_destroy);
+	talloc_set_destructor(load_poller, load_poller_destructor);
+	return load_poller;
 }
 
 static size_t
@@ -98,22 +99,22 @@
 	{
 		int64_t total = member_int(root, "running") + member_int(root, "queued");
 		if (total >= 0 && total < INT32_MAX)
-			poll->reports->handler(
-				poll->reports->ctx, poll->endpoint_id, (uint32_t)total);
+			poll->load_poller->handler(
+				poll->load_poller->ctx, poll->endpoint_id, (uint32_t)total);
 	}
 	json_object_put(root);
 }
 
 static struct poll *
-poll_of(struct comet_load_poller *reports, const struct comet_endpoint *endpoint)
+poll_of(struct comet_load_poller *load_poller, const struct comet_endpoint *endpoint)
 {
 	gpointer id = GUINT_TO_POINTER(endpoint->id);
-	struct poll *poll = g_hash_table_lookup(reports->polls, id);
+	struct poll *poll = g_hash_table_lookup(load_poller->polls, id);
 
 	if (poll != NULL)
 		return poll;
 	poll = g_new0(struct poll, 1);
-	poll->reports = reports;
+	poll->load_poller = load_poller;
 	poll->endpoint_id = endpoint->id;
 	poll->easy = curl_easy_init();
 	curl_easy_setopt(poll->easy, CURLOPT_WRITEFUNCTION, on_body);
@@ -121,14 +122,14 @@
 	curl_easy_setopt(poll->easy, CURLOPT_NOSIGNAL, 1L);
 	curl_easy_setopt(poll->easy, CURLOPT_PROXY, "");
 	curl_easy_setopt(poll->easy, CURLOPT_TIMEOUT_MS, REPORT_TIMEOUT_MS);
-	g_hash_table_insert(reports->polls, id, poll);
+	g_hash_table_insert(load_poller->polls, id, poll);
 	return poll;
 }
 
 void
-comet_load_poller_poll(struct comet_load_poller *reports, const struct comet_endpoint *endpoint)
+comet_load_poller_poll(struct comet_load_poller *load_poller, const struct comet_endpoint *endpoint)
 {
-	struct poll *poll = poll_of(reports, endpoint);
+	struct poll *poll = poll_of(load_poller, endpoint);
 	char url[512];
 
 	if (poll->busy)
@@ -137,5 +138,5 @@
 	curl_easy_setopt(poll->easy, CURLOPT_URL, url);
 	poll->length = 0;
 	poll->busy = true;
-	comet_curl_loop_add(reports->loop, poll->easy, on_done, poll);
+	comet_curl_loop_add(load_poller->loop, poll->easy, on_done, poll);
 }
--- a/libcometspindle/adapters/endpoints/load_poller.h
+++ b/libcometspindle/adapters/endpoints/load_poller.h
@@ -20,6 +20,7 @@
 
 /** Asks one endpoint, unless an answer from it is still awaited. */
 void
-comet_load_poller_poll(struct comet_load_poller *reports, const struct comet_endpoint *endpoint);
+comet_load_poller_poll(
+	struct comet_load_poller *load_poller, const struct comet_endpoint *endpoint);
 
 #endif
--- a/libcometspindle/adapters/endpoints/tcp_probe.c
+++ b/libcometspindle/adapters/endpoints/tcp_probe.c
@@ -21,21 +21,21 @@
 };
 
 static void
-finish(struct comet_tcp_probe *reach, enum comet_tcp_probe_result result)
+finish(struct comet_tcp_probe *probe, enum comet_tcp_probe_result result)
 {
-	comet_tcp_probe_handler handler = reach->handler;
-	void *ctx = reach->ctx;
+	comet_tcp_probe_handler handler = probe->handler;
+	void *ctx = probe->ctx;
 
-	talloc_free(reach);
+	talloc_free(probe);
 	handler(ctx, result);
 }
 
 static void
 on_timer(void *ctx)
 {
-	struct comet_tcp_probe *reach = ctx;
+	struct comet_tcp_probe *probe = ctx;
 
-	finish(reach, reach->result);
+	finish(probe, probe->result);
 }
 
 static void
@@ -55,11 +55,11 @@
 static void
 on_closed(void *ctx, bool orderly)
 {
-	struct comet_tcp_probe *reach = ctx;
-	bool refused = comet_socket_error(reach->socket) == ECONNREFUSED;
+	struct comet_tcp_probe *probe = ctx;
+	bool refused = comet_socket_error(probe->socket) == ECONNREFUSED;
 
 	(void)orderly;
-	finish(reach, refused ? COMET_TCP_PROBE_REFUSED : COMET_TCP_PROBE_UNREACHABLE);
+	finish(probe, refused ? COMET_TCP_PROBE_REFUSED : COMET_TCP_PROBE_UNREACHABLE);
 }
 
 static const struct comet_socket_events socket_events = {
@@ -69,26 +69,26 @@
 comet_tcp_probe_start(struct comet_timers *timers, struct tevent_context *ev, void *parent,
 	const char *address, comet_tcp_probe_handler handler, void *ctx)
 {
-	struct comet_tcp_probe *reach = talloc_zero(parent, struct comet_tcp_probe);
+	struct comet_tcp_probe *probe = talloc_zero(parent, struct comet_tcp_probe);
 	uint64_t timeout_us = TIMEOUT_US;
 	struct sockaddr_in at;
 
-	reach->handler = handler;
-	reach->ctx = ctx;
-	reach->result = COMET_TCP_PROBE_UNREACHABLE;
+	probe->handler = handler;
+	probe->ctx = ctx;
+	probe->result = COMET_TCP_PROBE_UNREACHABLE;
 	if (comet_socket_parse_address(address, &at))
-		reach->socket = comet_socket_connect(reach, ev, &at, &socket_events, reach);
+		probe->socket = comet_socket_connect(probe, ev, &at, &socket_events, probe);
 	else
 		errno = EINVAL;
-	if (reach->socket == NULL)
+	if (probe->socket == NULL)
 	{
 		/* A loopback address refuses at once. */
-		reach->result = errno == ECONNREFUSED ? COMET_TCP_PROBE_REFUSED
+		probe->result = errno == ECONNREFUSED ? COMET_TCP_PROBE_REFUSED
 						      : COMET_TCP_PROBE_UNREACHABLE;
 		timeout_us = 0;
 	}
-	reach->timer = comet_timers_add(timers, reach, timeout_us, on_timer, reach);
-	return reach;
+	probe->timer = comet_timers_add(timers, probe, timeout_us, on_timer, probe);
+	return probe;
 }
 
 const char *
--- a/libcometspindle/adapters/gateway/forward_head.c
+++ b/libcometspindle/adapters/gateway/forward_head.c
@@ -34,7 +34,7 @@
 			comet_http_write_header(out, header->name, header->value);
 	}
 	g_string_append_printf(
-		out, "%s: %" G_GUINT64_FORMAT "\r\n", names->deadline_ms, params->left_ms);
+		out, "%s: %" G_GUINT64_FORMAT "\r\n", names->deadline_ms, params->remaining_ms);
 	comet_http_write_header(out, names->expect_instance, params->instance);
 	if (params->team != NULL)
 		comet_http_write_header(out, names->team, params->team);
--- a/libcometspindle/adapters/gateway/forward_head.h
+++ b/libcometspindle/adapters/gateway/forward_head.h
@@ -15,7 +15,7 @@
 /** Values that the gateway sets for one attempt. */
 struct comet_forward_params
 {
-	uint64_t left_ms;       /**< time until the caller's deadline */
+	uint64_t remaining_ms;  /**< time until the caller's deadline */
 	const char *instance;   /**< id of the endpoint that the attempt is sent to */
 	const char *team;       /**< team that the API key belongs to; NULL on an open route */
 	const char *last_event; /**< id of the event after which to resume; NULL if not resuming */
--- a/libcometspindle/adapters/gateway/gateway.c
+++ b/libcometspindle/adapters/gateway/gateway.c
@@ -83,7 +83,7 @@
 	else if (datagram.which_body == comet_Datagram_news_tag)
 		comet_gateway_handle_report(gateway, &datagram.body.news, now_us);
 	else if (datagram.which_body != comet_Datagram_view_tag &&
-		 !comet_quota_requests_receive(gateway->charges, &datagram))
+		 !comet_quota_requests_receive(gateway->quota_requests, &datagram))
 		comet_grants_receive(gateway->grants, &datagram);
 	else if (datagram.which_body == comet_Datagram_view_tag &&
 		 !comet_gossip_receive(gateway->gossip, &datagram.body.view, now_us))
@@ -95,20 +95,21 @@
 {
 	struct comet_gateway *gateway = ctx;
 
-	comet_datagram_socket_send(gateway->link, address, data, length);
+	comet_datagram_socket_send(gateway->datagram_socket, address, data, length);
 }
 
 static void
-on_vm_changed(void *ctx, uint32_t address, bool there, const char *why)
+on_vm_changed(void *ctx, uint32_t address, bool alive, const char *why)
 {
 	char text[COMET_IPV4_TEXT_BYTES];
 
 	(void)ctx;
 	comet_log_repeated(COMET_LOG_NOTICE, "event=vm_%s vm=%s reason=%s",
-		there ? "heard" : "lost", comet_datagram_socket_format_address(address, text), why);
+		alive ? "heard" : "lost", comet_datagram_socket_format_address(address, text), why);
 }
 
-static const struct comet_gossip_ops gossip_ops = {.send = send_gossip, .changed = on_vm_changed};
+static const struct comet_gossip_ops gossip_ops = {
+	.send = send_gossip, .peer_state_changed = on_vm_changed};
 
 /* Continues a shutdown: closes idle connections, and ends the loop once nothing is open or the
  * grace period is nearly over. */
@@ -123,12 +124,12 @@
 	gateway->refusing = true;
 	comet_http_server_stop_listening(gateway->callers);
 	comet_http_server_close_idle(gateway->callers);
-	bool open =
-		gateway->calls > 0 || comet_http_server_counts(gateway->callers)->connections > 0;
+	bool open = gateway->open_request_count > 0 ||
+		    comet_http_server_counts(gateway->callers)->connections > 0;
 	if (open && passed_us + STOP_MARGIN_US < grace_us)
 		return;
 	comet_log(COMET_LOG_NOTICE, "event=stopped open=%u after_ms=%" G_GUINT64_FORMAT,
-		gateway->calls, passed_us / 1000);
+		gateway->open_request_count, passed_us / 1000);
 	gateway->stopped = true;
 }
 
@@ -136,26 +137,26 @@
  * message from any known VM keeps discovering, since its seeds may only be late: when it took
  * itself for the only VM, it spent the complete limit of each team alone. */
 static bool
-is_discovering(struct comet_gateway *gateway, uint32_t heard, uint32_t known, uint64_t now_us)
+is_discovering(struct comet_gateway *gateway, uint32_t alive, uint32_t known, uint64_t now_us)
 {
-	if (heard > gateway->peak_alive_vms)
+	if (alive > gateway->peak_alive_vms)
 	{
-		gateway->peak_alive_vms = heard;
-		gateway->discovered_us = heard > 1 ? now_us : 0;
+		gateway->peak_alive_vms = alive;
+		gateway->discovered_us = alive > 1 ? now_us : 0;
 	}
 	uint64_t last_us = MAX(gateway->discovered_us, gateway->began_us);
 	uint64_t quiet_us = MAX(DISCOVERY_QUIET_US,
 		DISCOVERY_QUIET_ROUNDS * comet_gossip_interval_us(gateway->gossip));
-	bool unheard = heard < known && gateway->discovered_us == 0;
+	bool unheard = alive < known && gateway->discovered_us == 0;
 	return (now_us - last_us < quiet_us || unheard) &&
 	       now_us - gateway->began_us < DISCOVERY_MAX_US;
 }
 
 /* Sets the numbers of VMs among which shared limits are divided; during discovery, assumed ones. */
 static void
-set_vms(struct comet_gateway *gateway, uint32_t heard, uint32_t known, uint64_t now_us)
+set_vms(struct comet_gateway *gateway, uint32_t alive, uint32_t known, uint64_t now_us)
 {
-	bool discovering = is_discovering(gateway, heard, known, now_us);
+	bool discovering = is_discovering(gateway, alive, known, now_us);
 
 	if (gateway->discovering && !discovering)
 		comet_log(COMET_LOG_NOTICE,
@@ -165,13 +166,13 @@
 	if (discovering)
 	{
 		known = MAX(known, DISCOVERY_ASSUMED_VMS);
-		heard = known;
+		alive = known;
 	}
-	comet_rate_limiter_set_vms(gateway->rate_limiter, heard, known,
+	comet_rate_limiter_set_vms(gateway->rate_limiter, alive, known,
 		discovering ? 0 : comet_gossip_unreachable_since_us(gateway->gossip));
 	comet_retry_budget_set_vms(gateway->retries, known);
-	comet_placement_set_vms(gateway->placement, heard, known);
-	gateway->directory->ops->set_vms(gateway->directory, heard);
+	comet_placement_set_vms(gateway->placement, alive, known);
+	gateway->directory->ops->set_vms(gateway->directory, alive);
 }
 
 static void
@@ -180,13 +181,13 @@
 	struct comet_gateway *gateway = ctx;
 	uint64_t now_us = comet_timers_now_us();
 	uint32_t known = 0;
-	uint32_t heard = 0;
+	uint32_t alive = 0;
 
 	comet_timers_add(gateway->timers, gateway, TICK_US, on_tick, gateway);
 	comet_log_tick();
 	comet_gossip_tick(gateway->gossip, now_us);
-	comet_gossip_count(gateway->gossip, &known, &heard);
-	set_vms(gateway, heard + 1, known + 1, now_us);
+	comet_gossip_count_peers(gateway->gossip, &known, &alive);
+	set_vms(gateway, alive + 1, known + 1, now_us);
 	comet_gateway_tick_endpoints(gateway, now_us);
 	comet_crash_tracker_tick(gateway->crash_tracker, now_us);
 	comet_proxy_request_refuse_all_quarantined(gateway);
@@ -210,7 +211,8 @@
 	if (gateway->stop_us != 0)
 		return;
 	gateway->stop_us = comet_timers_now_us();
-	comet_log(COMET_LOG_NOTICE, "event=stopping signal=%d open=%u", number, gateway->calls);
+	comet_log(COMET_LOG_NOTICE, "event=stopping signal=%d open=%u", number,
+		gateway->open_request_count);
 	comet_http_server_set_draining(gateway->callers);
 	comet_gossip_leave(gateway->gossip, gateway->stop_us);
 }
@@ -273,7 +275,7 @@
 {
 	uint32_t seeds[SEEDS_MAX];
 	struct comet_gossip_config config = {
-		.address = comet_datagram_socket_address(gateway->link),
+		.address = comet_datagram_socket_address(gateway->datagram_socket),
 		.seeds = seeds,
 		.n_seeds = read_seeds(gateway->settings->seeds, seeds),
 		.now_us = gateway->began_us,
@@ -290,7 +292,7 @@
 		gateway, &config, gateway->instances, gateway->rate_limiter, &gossip_ops, gateway);
 	gateway->grants =
 		comet_grants_create(gateway, config.address, &comet_gateway_grants_ops, gateway);
-	gateway->charges = comet_quota_requests_create(
+	gateway->quota_requests = comet_quota_requests_create(
 		gateway, config.address, &comet_gateway_quota_ops, gateway);
 }
 
@@ -319,9 +321,9 @@
 	comet_http_server_set_limits(gateway->callers, &initial_limits);
 	comet_http_server_set_limits(gateway->readiness, &internal_limits);
 	comet_http_server_set_limits(gateway->control, &internal_limits);
-	gateway->link = comet_datagram_socket_create(
+	gateway->datagram_socket = comet_datagram_socket_create(
 		gateway, gateway->ev, settings->peers, on_datagram, gateway, error);
-	return gateway->link != NULL;
+	return gateway->datagram_socket != NULL;
 }
 
 /* Returns how long a directory reader is followed after the directory last answered it. This is a
@@ -339,18 +341,18 @@
 	const struct comet_gateway_settings *settings = gateway->settings;
 
 	gateway->instances = comet_instances_create(gateway, settings->zone);
-	gateway->lives = comet_incarnations_create(gateway);
+	gateway->incarnations = comet_incarnations_create(gateway);
 	gateway->evacuations = comet_evacuations_create(
 		gateway, gateway->instances, comet_gateway_zone_restored, gateway);
 	gateway->rate_limiter =
 		comet_rate_limiter_create(gateway, &settings->rate_limiter, comet_timers_now_us());
 	gateway->retries = comet_retry_budget_create(gateway, &settings->retries);
-	gateway->reader_election = comet_reader_election_create(
-		gateway, (uint64_t)followed_ms(settings) * 1000, comet_random_u32(&gateway->draw));
+	gateway->reader_election = comet_reader_election_create(gateway,
+		(uint64_t)followed_ms(settings) * 1000, comet_random_u32(&gateway->random));
 	gateway->crash_tracker =
 		comet_crash_tracker_create(gateway, &comet_gateway_crashes_ops, gateway);
 	gateway->placement = comet_placement_create(gateway, gateway->instances,
-		&comet_gateway_placement_ops, gateway, comet_random_u32(&gateway->draw));
+		&comet_gateway_placement_ops, gateway, comet_random_u32(&gateway->random));
 }
 
 struct comet_gateway *
@@ -366,7 +368,7 @@
 	gateway->ends = comet_counter_set_create(gateway);
 	gateway->began_us = comet_timers_now_us();
 	randombytes_buf(&seed, sizeof seed);
-	comet_random_init(&gateway->draw, seed);
+	comet_random_init(&gateway->random, seed);
 	gateway->ev = tevent_context_init(gateway);
 	gateway->timers = comet_timers_create(gateway, gateway->ev);
 	if (gateway->timers == NULL)
--- a/libcometspindle/adapters/gateway/gateway_admit.c
+++ b/libcometspindle/adapters/gateway/gateway_admit.c
@@ -38,30 +38,30 @@
 #define SUSPECT_RETRY_AFTER_MS 2000
 
 static int
-proxy_request_destructor(struct comet_proxy_request *relay)
+proxy_request_destructor(struct comet_proxy_request *proxy)
 {
-	relay->gateway->calls--;
-	g_queue_delete_link(&relay->gateway->relays, relay->open_link);
-	if (relay->attempt_link != NULL) /* only when the gateway itself is freed */
-		g_queue_delete_link(&relay->gateway->active_attempts, relay->attempt_link);
-	comet_route_table_unref(relay->table);
-	if (relay->buffered_body != NULL)
-		g_byte_array_free(relay->buffered_body, TRUE);
+	proxy->gateway->open_request_count--;
+	g_queue_delete_link(&proxy->gateway->open_requests, proxy->open_link);
+	if (proxy->attempt_link != NULL) /* only when the gateway itself is freed */
+		g_queue_delete_link(&proxy->gateway->active_attempts, proxy->attempt_link);
+	comet_route_table_unref(proxy->table);
+	if (proxy->buffered_body != NULL)
+		g_byte_array_free(proxy->buffered_body, TRUE);
 	return 0;
 }
 
 static void
 on_deadline(void *ctx)
 {
-	struct comet_proxy_request *relay = ctx;
+	struct comet_proxy_request *proxy = ctx;
 
-	relay->deadline_timer = NULL;
-	if (relay->exchange != NULL)
+	proxy->deadline_timer = NULL;
+	if (proxy->exchange != NULL)
 	{
-		relay->may_have_run = relay->may_have_run || comet_exchange_sent(relay->exchange);
-		comet_proxy_request_end_attempt(relay, COMET_DISPATCH_CANCELLED);
+		proxy->may_have_run = proxy->may_have_run || comet_exchange_sent(proxy->exchange);
+		comet_proxy_request_end_attempt(proxy, COMET_DISPATCH_CANCELLED);
 	}
-	comet_proxy_request_fail(relay, 504, "deadline");
+	comet_proxy_request_fail(proxy, 504, "deadline");
 }
 
 /* Returns the API key of a request, or NULL. */
@@ -81,36 +81,36 @@
 
 /* Reads the size of the request from the caller's headers. */
 static void
-parse_request_size(struct comet_proxy_request *relay)
+parse_request_size(struct comet_proxy_request *proxy)
 {
-	const struct comet_header_names *names = relay->gateway->names;
-	const struct comet_http_head *head = relay->request->head;
+	const struct comet_header_names *names = proxy->gateway->names;
+	const struct comet_http_head *head = proxy->request->head;
 	const char *tokens = comet_http_head_get(head, names->tokens);
 	const char *hint = comet_http_head_get(head, names->output_hint);
-	struct comet_request_size *job = &relay->item.job;
+	struct comet_request_size *size = &proxy->item.size;
 	uint32_t expected = 0;
 
-	job->stream = comet_proxy_request_is_stream(relay);
-	relay->quota_amount =
-		relay->team != NULL && relay->team->in_tokens ? relay->team->default_tokens : 1;
+	size->stream = comet_proxy_request_is_stream(proxy);
+	proxy->quota_amount =
+		proxy->team != NULL && proxy->team->in_tokens ? proxy->team->default_tokens : 1;
 	if (tokens == NULL ||
-		!comet_header_parse_tokens(tokens, &job->prompt_tokens, &job->output_tokens))
+		!comet_header_parse_tokens(tokens, &size->prompt_tokens, &size->output_tokens))
 		return;
-	job->output_most = job->output_tokens;
-	if (relay->team != NULL && relay->team->in_tokens)
-		relay->quota_amount = (uint64_t)job->prompt_tokens + job->output_tokens;
+	size->max_output_tokens = size->output_tokens;
+	if (proxy->team != NULL && proxy->team->in_tokens)
+		proxy->quota_amount = (uint64_t)size->prompt_tokens + size->output_tokens;
 	if (hint != NULL && comet_header_parse_ms(hint, &expected) && expected > 0)
-		job->output_tokens = MIN(expected, job->output_tokens);
+		size->output_tokens = MIN(expected, size->output_tokens);
 }
 
 /* Computes a fingerprint that stays the same when a caller repeats the request under another id. */
 static void
-compute_fingerprint(struct comet_proxy_request *relay)
+compute_fingerprint(struct comet_proxy_request *proxy)
 {
-	const struct comet_http_head *head = relay->request->head;
-	const GByteArray *body = relay->request->body;
+	const struct comet_http_head *head = proxy->request->head;
+	const GByteArray *body = proxy->request->body;
 	const struct comet_fingerprint_parts parts = {
-		.team = relay->team != NULL ? relay->team->name : NULL,
+		.team = proxy->team != NULL ? proxy->team->name : NULL,
 		.method = head->method,
 		.host = comet_http_head_get(head, "Host"),
 		.target = head->target,
@@ -118,16 +118,16 @@
 		.body_bytes = body->len,
 	};
 
-	relay->fingerprint = comet_fingerprint_of(&parts);
+	proxy->fingerprint = comet_fingerprint_compute(&parts);
 }
 
 /* Computes the caller's deadline, and the time after which the request is not sent any more. */
 static void
-compute_deadlines(struct comet_proxy_request *relay)
+compute_deadlines(struct comet_proxy_request *proxy)
 {
-	const struct comet_route *route = relay->route;
+	const struct comet_route *route = proxy->route;
 	const char *deadline_text =
-		comet_http_head_get(relay->request->head, relay->gateway->names->deadline_ms);
+		comet_http_head_get(proxy->request->head, proxy->gateway->names->deadline_ms);
 	uint64_t timeout_ms = UINT32_MAX;
 	uint32_t deadline_ms = 0;
 
@@ -135,84 +135,86 @@
 		timeout_ms = deadline_ms;
 	if (route->timeout_ms > 0)
 		timeout_ms = MIN(timeout_ms, route->timeout_ms);
-	relay->deadline_us = relay->arrived_us + timeout_ms * 1000;
-	if (comet_proxy_request_is_stream(relay))
+	proxy->deadline_us = proxy->arrived_us + timeout_ms * 1000;
+	if (comet_proxy_request_is_stream(proxy))
 	{
 		uint64_t first_event_ms = MAX(FIRST_EVENT_TIMEOUT_MIN_MS,
-			(uint64_t)FIRST_EVENT_TIMEOUT_TARGETS * route->aim_ms);
-		first_event_ms =
-			MAX(first_event_ms, (uint64_t)FIRST_EVENT_TIMEOUT_GAPS * route->gap_ms);
+			(uint64_t)FIRST_EVENT_TIMEOUT_TARGETS * route->target_latency_ms);
+		first_event_ms = MAX(
+			first_event_ms, (uint64_t)FIRST_EVENT_TIMEOUT_GAPS * route->target_gap_ms);
 		timeout_ms = MIN(timeout_ms, first_event_ms);
 	}
-	relay->item.dispatch_deadline_us =
-		relay->arrived_us + (uint64_t)((double)timeout_ms * 1000 * (1 - PROCESSING_SHARE));
-	relay->item.end_us = relay->deadline_us;
-	relay->item.soft_deadline_us =
-		route->aim_ms > 0 ? relay->arrived_us + (uint64_t)route->aim_ms * 1000 : 0;
-	relay->item.early_us =
-		relay->arrived_us + (uint64_t)route->aim_ms * 1000 / EARLY_REFUSAL_DIVISOR;
+	proxy->item.dispatch_deadline_us =
+		proxy->arrived_us + (uint64_t)((double)timeout_ms * 1000 * (1 - PROCESSING_SHARE));
+	proxy->item.answer_deadline_us = proxy->deadline_us;
+	proxy->item.soft_deadline_us =
+		route->target_latency_ms > 0
+			? proxy->arrived_us + (uint64_t)route->target_latency_ms * 1000
+			: 0;
+	proxy->item.early_refusal_us = proxy->arrived_us + (uint64_t)route->target_latency_ms *
+								   1000 / EARLY_REFUSAL_DIVISOR;
 }
 
 /* Queues the request for an endpoint. */
 static void
-queue_request(struct comet_proxy_request *relay, uint64_t now_us)
+queue_request(struct comet_proxy_request *proxy, uint64_t now_us)
 {
-	struct comet_gateway *gateway = relay->gateway;
-	struct comet_placement_item *item = &relay->item;
+	struct comet_gateway *gateway = proxy->gateway;
+	struct comet_placement_item *item = &proxy->item;
 
-	item->owner = relay;
-	item->service = relay->service;
+	item->user_data = proxy;
+	item->service = proxy->service;
 	item->team_rank =
-		relay->team != NULL && relay->team->has_priority ? relay->team->priority : 0;
-	item->route_rank = relay->route->priority;
-	item->repeatable = comet_route_is_retryable(relay->route) && relay->route->max_attempts > 1;
-	relay->buffered_body = g_byte_array_new();
-	if (comet_proxy_request_is_stream(relay))
-		relay->events = comet_event_stream_create(relay);
-	if (relay->deadline_us > now_us)
-		relay->deadline_timer = comet_timers_add(
-			gateway->timers, relay, relay->deadline_us - now_us, on_deadline, relay);
+		proxy->team != NULL && proxy->team->has_priority ? proxy->team->priority : 0;
+	item->route_rank = proxy->route->priority;
+	item->retryable = comet_route_is_retryable(proxy->route) && proxy->route->max_attempts > 1;
+	proxy->buffered_body = g_byte_array_new();
+	if (comet_proxy_request_is_stream(proxy))
+		proxy->events = comet_event_stream_create(proxy);
+	if (proxy->deadline_us > now_us)
+		proxy->deadline_timer = comet_timers_add(
+			gateway->timers, proxy, proxy->deadline_us - now_us, on_deadline, proxy);
 	gateway->counts.admitted++;
 	comet_placement_submit(gateway->placement, item, now_us);
 }
 
 /* Finds the team of the request's API key. @return false if the request was refused. */
 static bool
-find_team(struct comet_proxy_request *relay)
+find_team(struct comet_proxy_request *proxy)
 {
-	struct comet_gateway *gateway = relay->gateway;
+	struct comet_gateway *gateway = proxy->gateway;
 
-	if (relay->route->open || !comet_route_table_needs_keys(relay->table))
+	if (proxy->route->open || !comet_route_table_needs_keys(proxy->table))
 		return true;
-	const char *key = get_api_key(gateway, relay->request->head);
-	relay->team = key != NULL ? comet_route_table_team_by_key(relay->table, key) : NULL;
-	if (relay->team != NULL)
+	const char *key = get_api_key(gateway, proxy->request->head);
+	proxy->team = key != NULL ? comet_route_table_team_by_key(proxy->table, key) : NULL;
+	if (proxy->team != NULL)
 		return true;
 	gateway->counts.refused_other++;
-	comet_proxy_request_respond_error(relay, 401, "unknown_key", 0);
+	comet_proxy_request_respond_error(proxy, 401, "unknown_key", 0);
 	return false;
 }
 
 /* Finds the route of a request. @return false if the request was refused. */
 static bool
-find_route(struct comet_proxy_request *relay)
+find_route(struct comet_proxy_request *proxy)
 {
-	struct comet_gateway *gateway = relay->gateway;
-	const struct comet_http_head *head = relay->request->head;
+	struct comet_gateway *gateway = proxy->gateway;
+	const struct comet_http_head *head = proxy->request->head;
 	const char *host = comet_http_head_get(head, "Host");
 
-	if (relay->id == NULL || host == NULL || head->target[0] != '/' ||
+	if (proxy->id == NULL || host == NULL || head->target[0] != '/' ||
 		comet_http_head_count(head, "Host") != 1)
 	{
 		gateway->counts.refused_other++;
-		comet_proxy_request_respond_error(relay, 400, "malformed", 0);
+		comet_proxy_request_respond_error(proxy, 400, "malformed", 0);
 		return false;
 	}
-	relay->route = comet_route_table_find(relay->table, host, head->target);
-	if (relay->route == NULL)
+	proxy->route = comet_route_table_find(proxy->table, host, head->target);
+	if (proxy->route == NULL)
 	{
 		gateway->counts.refused_other++;
-		comet_proxy_request_respond_error(relay, 404, "no_route", 0);
+		comet_proxy_request_respond_error(proxy, 404, "no_route", 0);
 		return false;
 	}
 	return true;
@@ -220,22 +222,22 @@
 
 /* Called once the request has been charged: selects a service and queues the request. */
 static void
-admit(struct comet_proxy_request *relay, uint64_t now_us)
+admit(struct comet_proxy_request *proxy, uint64_t now_us)
 {
-	struct comet_gateway *gateway = relay->gateway;
+	struct comet_gateway *gateway = proxy->gateway;
 
-	compute_deadlines(relay);
-	relay->service = talloc_strdup(
-		relay, comet_route_pick_service(relay->route, comet_random_u32(&gateway->draw)));
+	compute_deadlines(proxy);
+	proxy->service = talloc_strdup(
+		proxy, comet_route_pick_service(proxy->route, comet_random_u32(&gateway->random)));
 	comet_log(COMET_LOG_INFO,
 		"event=admitted request=%s fingerprint=%016" G_GINT64_MODIFIER
 		"x route=%s service=%s team=%s prompt=%u output=%u most=%u "
 		"version=%" G_GUINT64_FORMAT,
-		relay->id, relay->fingerprint.digest, relay->route->name, relay->service,
-		relay->team != NULL ? relay->team->name : "-", relay->item.job.prompt_tokens,
-		relay->item.job.output_tokens, relay->item.job.output_most,
-		comet_route_table_version(relay->table));
-	queue_request(relay, now_us);
+		proxy->id, proxy->fingerprint.digest, proxy->route->name, proxy->service,
+		proxy->team != NULL ? proxy->team->name : "-", proxy->item.size.prompt_tokens,
+		proxy->item.size.output_tokens, proxy->item.size.max_output_tokens,
+		comet_route_table_version(proxy->table));
+	queue_request(proxy, now_us);
 }
 
 /* Refuses a request that arrived before the first routing table. */
@@ -267,31 +269,31 @@
 			request, 503, "Retry-After: " STOPPING_RETRY_S "\r\n", "", 0);
 		return;
 	}
-	struct comet_proxy_request *relay = talloc_zero(gateway, struct comet_proxy_request);
-	gateway->calls++;
-	g_queue_push_tail(&gateway->relays, relay);
-	relay->open_link = g_queue_peek_tail_link(&gateway->relays);
-	talloc_set_destructor(relay, proxy_request_destructor);
-	relay->gateway = gateway;
-	relay->request = request;
-	relay->table = comet_route_table_ref(gateway->table);
-	relay->id = comet_http_head_get(request->head, gateway->names->request_id);
-	relay->arrived_us = request->received_us;
-	request->user = relay;
-	if (!find_route(relay) || !find_team(relay))
+	struct comet_proxy_request *proxy = talloc_zero(gateway, struct comet_proxy_request);
+	gateway->open_request_count++;
+	g_queue_push_tail(&gateway->open_requests, proxy);
+	proxy->open_link = g_queue_peek_tail_link(&gateway->open_requests);
+	talloc_set_destructor(proxy, proxy_request_destructor);
+	proxy->gateway = gateway;
+	proxy->request = request;
+	proxy->table = comet_route_table_ref(gateway->table);
+	proxy->id = comet_http_head_get(request->head, gateway->names->request_id);
+	proxy->arrived_us = request->received_us;
+	request->user = proxy;
+	if (!find_route(proxy) || !find_team(proxy))
 		return;
-	compute_fingerprint(relay);
-	if (comet_proxy_request_is_quarantined(relay))
+	compute_fingerprint(proxy);
+	if (comet_proxy_request_is_quarantined(proxy))
 	{
-		comet_proxy_request_refuse_quarantined(relay);
+		comet_proxy_request_refuse_quarantined(proxy);
 		return;
 	}
 	if (comet_crash_tracker_is_undecided(
-		    gateway->crash_tracker, &relay->fingerprint, comet_timers_now_us()))
+		    gateway->crash_tracker, &proxy->fingerprint, comet_timers_now_us()))
 	{
-		comet_proxy_request_refuse(relay, "may_crash_endpoints", SUSPECT_RETRY_AFTER_MS);
+		comet_proxy_request_refuse(proxy, "may_crash_endpoints", SUSPECT_RETRY_AFTER_MS);
 		return;
 	}
-	parse_request_size(relay);
-	comet_proxy_request_charge(relay, admit);
+	parse_request_size(proxy);
+	comet_proxy_request_charge(proxy, admit);
 }
--- a/libcometspindle/adapters/gateway/gateway_answer.c
+++ b/libcometspindle/adapters/gateway/gateway_answer.c
@@ -33,9 +33,9 @@
 
 /* Starts the response to the caller with the endpoint's head. length is negative if unknown. */
 static void
-start_response(struct comet_proxy_request *relay, int64_t length)
+start_response(struct comet_proxy_request *proxy, int64_t length)
 {
-	const struct comet_http_head *head = relay->head;
+	const struct comet_http_head *head = proxy->head;
 	GString *headers = g_string_sized_new(512);
 
 	for (size_t i = 0; i < head->n_headers; i++)
@@ -45,63 +45,64 @@
 				headers, head->headers[i].name, head->headers[i].value);
 	}
 	comet_http_server_start_response(
-		relay->request, head->status, head->reason, headers->str, length);
+		proxy->request, head->status, head->reason, headers->str, length);
 	g_string_free(headers, TRUE);
-	relay->response_started = true;
-	relay->response_status = head->status;
-	relay->content_type = talloc_strdup(relay, comet_http_head_get(head, "Content-Type"));
+	proxy->response_started = true;
+	proxy->response_status = head->status;
+	proxy->content_type = talloc_strdup(proxy, comet_http_head_get(head, "Content-Type"));
 }
 
 static void
 on_response_head(void *ctx, const struct comet_http_head *head)
 {
-	struct comet_proxy_request *relay = ctx;
-	const struct comet_header_names *names = relay->gateway->names;
+	struct comet_proxy_request *proxy = ctx;
+	const struct comet_header_names *names = proxy->gateway->names;
 	const char *load_text = comet_http_head_get(head, names->load);
 	struct comet_header_load load;
 	uint64_t now_us = comet_timers_now_us();
-	struct comet_instance *instance = comet_proxy_request_instance(relay);
+	struct comet_instance *instance = comet_proxy_request_instance(proxy);
 
 	if (instance != NULL)
 		comet_instance_seen(instance, now_us);
 	if (instance != NULL && load_text != NULL && comet_header_parse_load(load_text, &load))
 		comet_instance_load_reported(instance, load.running + load.waiting, now_us);
-	relay->not_run = head->status == 421 || comet_http_head_get(head, names->not_run) != NULL;
-	talloc_free(relay->head);
-	relay->head = copy_head(relay, head);
-	relay->last_us = now_us;
+	proxy->not_executed =
+		head->status == 421 || comet_http_head_get(head, names->not_run) != NULL;
+	talloc_free(proxy->head);
+	proxy->head = copy_head(proxy, head);
+	proxy->last_byte_us = now_us;
 }
 
 static bool
-is_success(const struct comet_proxy_request *relay)
+is_success(const struct comet_proxy_request *proxy)
 {
-	return relay->head->status >= 200 && relay->head->status < 300;
+	return proxy->head->status >= 200 && proxy->head->status < 300;
 }
 
 static bool
-has_server_stamp(const struct comet_proxy_request *relay)
+has_server_stamp(const struct comet_proxy_request *proxy)
 {
-	return comet_http_head_get(relay->head, relay->gateway->names->stamp) != NULL;
+	return comet_http_head_get(proxy->head, proxy->gateway->names->server_stamp) != NULL;
 }
 
 /* Returns whether the head matches the stream that this attempt is to resume. A different status or
  * content type belongs to a different response: a 204 made a stream look complete that lacked half
  * of its events. */
 static bool
-is_continuation(const struct comet_proxy_request *relay)
+is_continuation(const struct comet_proxy_request *proxy)
 {
-	const char *type = comet_http_head_get(relay->head, "Content-Type");
+	const char *type = comet_http_head_get(proxy->head, "Content-Type");
 
-	return relay->head->status == relay->response_status &&
-	       g_strcmp0(type, relay->content_type) == 0;
+	return proxy->head->status == proxy->response_status &&
+	       g_strcmp0(type, proxy->content_type) == 0;
 }
 
 /* Returns whether the head is that of a successful response that may be forwarded. */
 static bool
-is_valid_success(const struct comet_proxy_request *relay)
+is_valid_success(const struct comet_proxy_request *proxy)
 {
-	return !relay->not_run && is_success(relay) && has_server_stamp(relay) &&
-	       (!relay->resuming || is_continuation(relay));
+	return !proxy->not_executed && is_success(proxy) && has_server_stamp(proxy) &&
+	       (!proxy->resuming || is_continuation(proxy));
 }
 
 /* How the body of a response is handled. */
@@ -116,92 +117,92 @@
  * resume a stream is answered with something else, such as the text of a refusal, the caller would
  * read that text as an event. */
 static enum body_mode
-select_body_mode(const struct comet_proxy_request *relay)
+select_body_mode(const struct comet_proxy_request *proxy)
 {
-	if (comet_proxy_request_is_stream(relay) && is_valid_success(relay))
+	if (comet_proxy_request_is_stream(proxy) && is_valid_success(proxy))
 		return BODY_EVENTS;
-	if (relay->not_run || relay->resuming || (is_success(relay) && !has_server_stamp(relay)))
+	if (proxy->not_executed || proxy->resuming ||
+		(is_success(proxy) && !has_server_stamp(proxy)))
 		return BODY_DISCARDED;
 	return BODY_PLAIN;
 }
 
 static void
-pause_for_slow_caller(struct comet_proxy_request *relay)
+pause_for_slow_caller(struct comet_proxy_request *proxy)
 {
-	if (relay->upstream_paused ||
-		comet_http_server_queued_bytes(relay->request) < PAUSE_THRESHOLD_BYTES)
+	if (proxy->upstream_paused ||
+		comet_http_server_queued_bytes(proxy->request) < PAUSE_THRESHOLD_BYTES)
 		return;
-	relay->upstream_paused = true;
-	comet_exchange_pause(relay->exchange, true);
+	proxy->upstream_paused = true;
+	comet_exchange_pause(proxy->exchange, true);
 }
 
 /* Forwards the complete events. */
 static void
-forward_events(struct comet_proxy_request *relay, const char *data, size_t length)
+forward_events(struct comet_proxy_request *proxy, const char *data, size_t length)
 {
-	size_t ready = comet_event_stream_add(relay->events, data, length);
+	size_t ready = comet_event_stream_add(proxy->events, data, length);
 
 	if (ready == 0)
 		return;
-	if (!relay->response_started)
-		start_response(relay, -1);
-	comet_http_server_send_body(relay->request, comet_event_stream_ready(relay->events), ready);
-	comet_event_stream_consume(relay->events);
-	pause_for_slow_caller(relay);
+	if (!proxy->response_started)
+		start_response(proxy, -1);
+	comet_http_server_send_body(proxy->request, comet_event_stream_ready(proxy->events), ready);
+	comet_event_stream_consume(proxy->events);
+	pause_for_slow_caller(proxy);
 }
 
 static void
-forward_plain_body(struct comet_proxy_request *relay, const char *data, size_t length)
+forward_plain_body(struct comet_proxy_request *proxy, const char *data, size_t length)
 {
-	if (relay->response_started)
+	if (proxy->response_started)
 	{
-		comet_http_server_send_body(relay->request, data, length);
-		pause_for_slow_caller(relay);
+		comet_http_server_send_body(proxy->request, data, length);
+		pause_for_slow_caller(proxy);
 		return;
 	}
-	g_byte_array_append(relay->buffered_body, (const guint8 *)data, (guint)length);
-	if (relay->buffered_body->len < PLAIN_BUFFER_BYTES)
+	g_byte_array_append(proxy->buffered_body, (const guint8 *)data, (guint)length);
+	if (proxy->buffered_body->len < PLAIN_BUFFER_BYTES)
 		return;
-	const char *length_text = comet_http_head_get(relay->head, "Content-Length");
-	start_response(relay, length_text != NULL ? g_ascii_strtoll(length_text, NULL, 10) : -1);
-	comet_http_server_send_body(relay->request, (const char *)relay->buffered_body->data,
-		relay->buffered_body->len);
-	g_byte_array_set_size(relay->buffered_body, 0);
-	pause_for_slow_caller(relay);
+	const char *length_text = comet_http_head_get(proxy->head, "Content-Length");
+	start_response(proxy, length_text != NULL ? g_ascii_strtoll(length_text, NULL, 10) : -1);
+	comet_http_server_send_body(proxy->request, (const char *)proxy->buffered_body->data,
+		proxy->buffered_body->len);
+	g_byte_array_set_size(proxy->buffered_body, 0);
+	pause_for_slow_caller(proxy);
 }
 
 static void
 on_response_data(void *ctx, const char *data, size_t length)
 {
-	struct comet_proxy_request *relay = ctx;
+	struct comet_proxy_request *proxy = ctx;
 	uint64_t now_us = comet_timers_now_us();
 
-	struct comet_instance *instance = comet_proxy_request_instance(relay);
+	struct comet_instance *instance = comet_proxy_request_instance(proxy);
 
-	if (relay->response_start_us == 0)
-		relay->response_start_us = now_us;
+	if (proxy->response_start_us == 0)
+		proxy->response_start_us = now_us;
 	else
-		relay->max_gap_us = MAX(relay->max_gap_us, now_us - relay->last_us);
-	relay->last_us = now_us;
-	relay->attempt_body_bytes += length;
+		proxy->max_gap_us = MAX(proxy->max_gap_us, now_us - proxy->last_byte_us);
+	proxy->last_byte_us = now_us;
+	proxy->attempt_body_bytes += length;
 	if (instance != NULL)
 		comet_instance_seen(instance, now_us);
-	if (relay->first_byte_us == 0)
+	if (proxy->first_byte_us == 0)
 	{
-		relay->first_byte_us = now_us;
+		proxy->first_byte_us = now_us;
 		if (instance != NULL)
-			comet_instance_first_event(instance, &relay->item.job,
-				comet_proxy_request_timing_is_valid(relay)
-					? now_us - relay->sent_us
-					: COMET_INSTANCE_UNMEASURED);
+			comet_instance_first_event(instance, &proxy->item.size,
+				comet_proxy_request_timing_is_valid(proxy) ? now_us - proxy->sent_us
+									   : COMET_LATENCY_UNKNOWN);
 	}
-	switch (select_body_mode(relay))
+	switch (select_body_mode(proxy))
 	{
 	case BODY_EVENTS:
-		forward_events(relay, data, length);
+		forward_events(proxy, data, length);
 		break;
 	case BODY_PLAIN:
-		forward_plain_body(relay, data, length);
+		forward_plain_body(proxy, data, length);
 		break;
 	case BODY_DISCARDED:
 		break;
@@ -209,7 +210,7 @@
 }
 
 static void
-log_answered(const struct comet_proxy_request *relay, unsigned int status)
+log_answered(const struct comet_proxy_request *proxy, unsigned int status)
 {
 	uint64_t now_us = comet_timers_now_us();
 
@@ -217,123 +218,123 @@
 		"event=answered request=%s status=%u endpoint=%s total_ms=%" G_GUINT64_FORMAT
 		" attempt_first_byte_ms=%" G_GUINT64_FORMAT " first_byte_ms=%" G_GUINT64_FORMAT
 		" max_gap_ms=%" G_GUINT64_FORMAT " events=%u attempts=%u",
-		relay->id, status, relay->instance_id,
-		comet_proxy_request_elapsed_ms(relay->arrived_us, now_us),
-		relay->first_byte_us != 0
-			? comet_proxy_request_elapsed_ms(relay->sent_us, relay->first_byte_us)
+		proxy->id, status, proxy->instance_id,
+		comet_proxy_request_elapsed_ms(proxy->arrived_us, now_us),
+		proxy->first_byte_us != 0
+			? comet_proxy_request_elapsed_ms(proxy->sent_us, proxy->first_byte_us)
 			: 0,
-		relay->response_start_us != 0 ? comet_proxy_request_elapsed_ms(
-							relay->arrived_us, relay->response_start_us)
+		proxy->response_start_us != 0 ? comet_proxy_request_elapsed_ms(
+							proxy->arrived_us, proxy->response_start_us)
 					      : 0,
-		relay->max_gap_us / 1000, comet_proxy_request_events(relay), relay->attempts);
+		proxy->max_gap_us / 1000, comet_proxy_request_events(proxy), proxy->attempts);
 }
 
 static void
-record_latency(const struct comet_proxy_request *relay)
+record_latency(const struct comet_proxy_request *proxy)
 {
-	struct comet_gateway_times *times = &relay->gateway->times[relay->route->kind];
+	struct comet_gateway_times *times = &proxy->gateway->times[proxy->route->kind];
 
-	if (relay->first_byte_us != 0)
+	if (proxy->first_byte_us != 0)
 		comet_latency_histogram_add(
-			&times->first, relay->first_byte_us - relay->arrived_us);
-	comet_latency_histogram_add(&times->whole, comet_timers_now_us() - relay->arrived_us);
+			&times->first, proxy->first_byte_us - proxy->arrived_us);
+	comet_latency_histogram_add(&times->whole, comet_timers_now_us() - proxy->arrived_us);
 }
 
 /* Completes the response to the caller with a response that was read completely. */
 static void
-complete_response(struct comet_proxy_request *relay, enum comet_dispatch_result result)
+complete_response(struct comet_proxy_request *proxy, enum comet_dispatch_result result)
 {
-	struct comet_http_server_request *request = relay->request;
+	struct comet_http_server_request *request = proxy->request;
 
-	if (!relay->response_started)
+	if (!proxy->response_started)
 	{
 		bool head_only = strcmp(request->head->method, "HEAD") == 0;
-		const char *length_text = comet_http_head_get(relay->head, "Content-Length");
+		const char *length_text = comet_http_head_get(proxy->head, "Content-Length");
 		int64_t length = head_only && length_text != NULL
 					 ? g_ascii_strtoll(length_text, NULL, 10)
-					 : (int64_t)relay->buffered_body->len;
-		start_response(relay, length);
-		comet_http_server_send_body(request, (const char *)relay->buffered_body->data,
-			relay->buffered_body->len);
+					 : (int64_t)proxy->buffered_body->len;
+		start_response(proxy, length);
+		comet_http_server_send_body(request, (const char *)proxy->buffered_body->data,
+			proxy->buffered_body->len);
 	}
-	log_answered(relay, relay->head->status);
-	record_latency(relay);
+	log_answered(proxy, proxy->head->status);
+	record_latency(proxy);
 	if (result == COMET_DISPATCH_SERVED)
-		relay->gateway->counts.served++;
+		proxy->gateway->counts.served++;
 	else
-		relay->gateway->counts.relayed_errors++;
-	comet_proxy_request_end_attempt(relay, result);
+		proxy->gateway->counts.relayed_errors++;
+	comet_proxy_request_end_attempt(proxy, result);
 	comet_proxy_request_count_end(
-		relay, result == COMET_DISPATCH_SERVED ? "served" : "relayed_error");
+		proxy, result == COMET_DISPATCH_SERVED ? "served" : "relayed_error");
 	request->user = NULL;
-	comet_proxy_request_close(relay);
+	comet_proxy_request_close(proxy);
 	comet_http_server_finish_response(request);
 }
 
 /* Handles a response that was read completely. */
 static void
-handle_complete_response(struct comet_proxy_request *relay)
+handle_complete_response(struct comet_proxy_request *proxy)
 {
-	if (relay->not_run)
+	if (proxy->not_executed)
 	{
-		comet_proxy_request_attempt_refused(relay);
+		comet_proxy_request_attempt_refused(proxy);
 		return;
 	}
-	if (is_valid_success(relay))
+	if (is_valid_success(proxy))
 	{
-		bool truncated = comet_proxy_request_is_stream(relay) &&
-				 comet_event_stream_unfinished(relay->events) > 0;
+		bool truncated = comet_proxy_request_is_stream(proxy) &&
+				 comet_event_stream_unfinished(proxy->events) > 0;
 		if (truncated)
-			comet_proxy_request_attempt_failed(relay, COMET_DISPATCH_BROKEN);
+			comet_proxy_request_attempt_failed(proxy, COMET_DISPATCH_BROKEN);
 		else
-			complete_response(relay, COMET_DISPATCH_SERVED);
+			complete_response(proxy, COMET_DISPATCH_SERVED);
 		return;
 	}
-	bool server_error = relay->head->status >= 500;
-	if (relay->resuming || (is_success(relay) && !has_server_stamp(relay)))
+	bool server_error = proxy->head->status >= 500;
+	if (proxy->resuming || (is_success(proxy) && !has_server_stamp(proxy)))
 	{
-		comet_proxy_request_attempt_failed(relay, COMET_DISPATCH_BROKEN);
+		comet_proxy_request_attempt_failed(proxy, COMET_DISPATCH_BROKEN);
 		return;
 	}
-	relay->may_have_run = true;
+	proxy->may_have_run = true;
 	/* An endpoint that was already tried would fail again, so the error response is forwarded
 	 * if no untried endpoint is left. */
-	if (server_error && !relay->response_started && comet_route_is_retryable(relay->route) &&
-		comet_placement_has_untried(relay->gateway->placement, &relay->item) &&
-		comet_proxy_request_may_retry(relay))
+	if (server_error && !proxy->response_started && comet_route_is_retryable(proxy->route) &&
+		comet_placement_has_unattempted(proxy->gateway->placement, &proxy->item) &&
+		comet_proxy_request_may_retry(proxy))
 	{
-		comet_proxy_request_end_attempt(relay, COMET_DISPATCH_ERROR);
-		comet_proxy_request_retry(relay, "endpoint_error");
+		comet_proxy_request_end_attempt(proxy, COMET_DISPATCH_ERROR);
+		comet_proxy_request_retry(proxy, "endpoint_error");
 		return;
 	}
-	complete_response(relay, server_error ? COMET_DISPATCH_ERROR : COMET_DISPATCH_SERVED);
+	complete_response(proxy, server_error ? COMET_DISPATCH_ERROR : COMET_DISPATCH_SERVED);
 }
 
 static void
 on_response_end(void *ctx, enum comet_exchange_end end)
 {
-	struct comet_proxy_request *relay = ctx;
+	struct comet_proxy_request *proxy = ctx;
 
-	relay->exchange = NULL; /* the exchange frees itself */
+	proxy->exchange = NULL; /* the exchange frees itself */
 	switch (end)
 	{
 	case COMET_EXCHANGE_COMPLETE:
-		handle_complete_response(relay);
+		handle_complete_response(proxy);
 		break;
 	case COMET_EXCHANGE_BROKEN:
-		comet_proxy_request_attempt_failed(relay, COMET_DISPATCH_BROKEN);
+		comet_proxy_request_attempt_failed(proxy, COMET_DISPATCH_BROKEN);
 		break;
 	case COMET_EXCHANGE_UNREACHED:
-		comet_log(COMET_LOG_NOTICE, "event=unreached request=%s endpoint=%s", relay->id,
-			relay->instance_id);
-		relay->attempts--;
-		comet_proxy_request_end_attempt(relay, COMET_DISPATCH_UNREACHED);
-		if (comet_timers_now_us() < relay->deadline_us &&
-			!comet_proxy_request_is_quarantined(relay) &&
-			relay->item.n_tried < COMET_PLACEMENT_TRIED_MAX)
-			comet_proxy_request_retry(relay, "unreached");
+		comet_log(COMET_LOG_NOTICE, "event=unreached request=%s endpoint=%s", proxy->id,
+			proxy->instance_id);
+		proxy->attempts--;
+		comet_proxy_request_end_attempt(proxy, COMET_DISPATCH_UNREACHABLE);
+		if (comet_timers_now_us() < proxy->deadline_us &&
+			!comet_proxy_request_is_quarantined(proxy) &&
+			proxy->item.n_attempted < COMET_PLACEMENT_ATTEMPTED_MAX)
+			comet_proxy_request_retry(proxy, "unreached");
 		else
-			comet_proxy_request_fail(relay, 502, "unreached");
+			comet_proxy_request_fail(proxy, 502, "unreached");
 		break;
 	}
 }
--- a/libcometspindle/adapters/gateway/gateway_crashes.c
+++ b/libcometspindle/adapters/gateway/gateway_crashes.c
@@ -39,7 +39,7 @@
 		[COMET_CRASH_TRACKER_COUNTED] = "counted",
 		[COMET_CRASH_TRACKER_QUARANTINED] = "quarantined",
 		[COMET_CRASH_TRACKER_RELEASED] = "released",
-		[COMET_CRASH_TRACKER_CLEARED] = "excused",
+		[COMET_CRASH_TRACKER_EXCUSED] = "excused",
 	};
 
 	return names[event];
@@ -47,7 +47,7 @@
 
 static void
 on_tracker_event(void *ctx, const struct comet_fingerprint *request,
-	enum comet_crash_tracker_event event, uint32_t lives, bool own)
+	enum comet_crash_tracker_event event, uint32_t incarnations, bool own)
 {
 	struct comet_gateway *gateway = ctx;
 
@@ -56,14 +56,14 @@
 	write(event == COMET_CRASH_TRACKER_COUNTED ? COMET_LOG_INFO : COMET_LOG_NOTICE,
 		"event=request_%s fingerprint=%016" G_GINT64_MODIFIER
 		"x team_hash=%08x crashes=%u remote=%d",
-		event_name(event), request->digest, request->team, lives, !own);
+		event_name(event), request->digest, request->team, incarnations, !own);
 	if (own) /* findings of other VMs are already broadcast */
 		comet_gossip_schedule_broadcast(gateway->gossip);
 	gateway->newly_quarantined =
 		gateway->newly_quarantined || event == COMET_CRASH_TRACKER_QUARANTINED;
 }
 
-const struct comet_crash_tracker_ops comet_gateway_crashes_ops = {.news = on_tracker_event};
+const struct comet_crash_tracker_ops comet_gateway_crashes_ops = {.on_change = on_tracker_event};
 
 static int
 crash_check_destroy(struct crash_check *check)
@@ -176,43 +176,44 @@
 
 /* Returns whether the attempt may have ended because the process crashed. */
 static bool
-is_suspect(const struct comet_proxy_request *relay, enum comet_dispatch_result result)
+is_suspect(const struct comet_proxy_request *proxy, enum comet_dispatch_result result)
 {
-	if (relay->not_run)
+	if (proxy->not_executed)
 		return false;
 	if (result == COMET_DISPATCH_BROKEN || result == COMET_DISPATCH_SILENT)
 		return true;
 	if (result == COMET_DISPATCH_SERVED)
-		return !is_framed(relay->head);
+		return !is_framed(proxy->head);
 	/* A caller may disconnect before the crash is detected. Without this rule, no attempt of a
 	 * caller that always did so was counted. */
-	return result == COMET_DISPATCH_CANCELLED && relay->exchange != NULL &&
-	       comet_exchange_sent(relay->exchange);
+	return result == COMET_DISPATCH_CANCELLED && proxy->exchange != NULL &&
+	       comet_exchange_sent(proxy->exchange);
 }
 
 void
-comet_gateway_attempt_ending(struct comet_proxy_request *relay, enum comet_dispatch_result result)
+comet_gateway_attempt_ending(struct comet_proxy_request *proxy, enum comet_dispatch_result result)
 {
-	struct comet_gateway *gateway = relay->gateway;
-	const struct comet_instance *instance = comet_proxy_request_instance(relay);
+	struct comet_gateway *gateway = proxy->gateway;
+	const struct comet_instance *instance = comet_proxy_request_instance(proxy);
 	uint64_t now_us = comet_timers_now_us();
 
-	if (result == COMET_DISPATCH_SERVED && proves_completion(relay->head))
-		comet_crash_tracker_served(gateway->crash_tracker, &relay->fingerprint, now_us);
+	if (result == COMET_DISPATCH_SERVED && proves_completion(proxy->head))
+		comet_crash_tracker_mark_served(
+			gateway->crash_tracker, &proxy->fingerprint, now_us);
 	if (instance != NULL && result == COMET_DISPATCH_WRONG_INSTANCE)
 		comet_gateway_process_crashed(gateway, instance, "address_reused");
-	if (!is_suspect(relay, result))
+	if (!is_suspect(proxy, result))
 		return;
-	uint64_t last_seen_us = instance != NULL ? instance->last_seen_us : relay->last_us;
-	struct comet_crash_tracker_run run = {
-		.request = relay->fingerprint,
-		.incarnation_key = relay->incarnation_key,
+	uint64_t last_seen_us = instance != NULL ? instance->last_seen_us : proxy->last_byte_us;
+	struct comet_crash_attempt attempt = {
+		.request = proxy->fingerprint,
+		.incarnation_key = proxy->incarnation_key,
 		.last_seen_us = last_seen_us,
 		.cancelled = result == COMET_DISPATCH_CANCELLED &&
-			     now_us - MAX(last_seen_us, relay->sent_us) < UNSEEN_US,
+			     now_us - MAX(last_seen_us, proxy->sent_us) < UNSEEN_US,
 	};
-	comet_crash_tracker_add_suspect(gateway->crash_tracker, &run, now_us);
-	if (instance != NULL && !run.cancelled && result != COMET_DISPATCH_SERVED)
+	comet_crash_tracker_add_suspect(gateway->crash_tracker, &attempt, now_us);
+	if (instance != NULL && !attempt.cancelled && result != COMET_DISPATCH_SERVED)
 		start_crash_check(gateway, instance);
 }
 
@@ -223,16 +224,16 @@
 {
 	for (GList *at = gateway->active_attempts.head; at != NULL; at = at->next)
 	{
-		const struct comet_proxy_request *relay = at->data;
-		uint64_t last_seen_us = MAX(instance->last_seen_us, relay->sent_us);
-		if (relay->incarnation_key != instance->key || now_us - last_seen_us < UNSEEN_US)
+		const struct comet_proxy_request *proxy = at->data;
+		uint64_t last_seen_us = MAX(instance->last_seen_us, proxy->sent_us);
+		if (proxy->incarnation_key != instance->key || now_us - last_seen_us < UNSEEN_US)
 			continue;
-		struct comet_crash_tracker_run run = {
-			.request = relay->fingerprint,
-			.incarnation_key = relay->incarnation_key,
+		struct comet_crash_attempt attempt = {
+			.request = proxy->fingerprint,
+			.incarnation_key = proxy->incarnation_key,
 			.last_seen_us = instance->last_seen_us,
 		};
-		comet_crash_tracker_add_suspect(gateway->crash_tracker, &run, now_us);
+		comet_crash_tracker_add_suspect(gateway->crash_tracker, &attempt, now_us);
 	}
 }
 
@@ -251,7 +252,7 @@
 	comet_log(COMET_LOG_INFO,
 		"event=endpoint_crashed endpoint=%s reason=%s open=%u "
 		"last_seen_ms_ago=%" G_GUINT64_FORMAT,
-		instance->id, why, instance->own,
+		instance->id, why, instance->local_requests,
 		instance->last_seen_us != 0 ? (now_us - instance->last_seen_us) / 1000 : 0);
 	comet_crash_tracker_process_crashed(
 		gateway->crash_tracker, instance->key, instance->last_seen_us, now_us);
--- a/libcometspindle/adapters/gateway/gateway_crashes.h
+++ b/libcometspindle/adapters/gateway/gateway_crashes.h
@@ -13,7 +13,7 @@
 
 /** Handles the end of an attempt: the request is a suspect if the endpoint may have crashed. */
 void
-comet_gateway_attempt_ending(struct comet_proxy_request *relay, enum comet_dispatch_result result);
+comet_gateway_attempt_ending(struct comet_proxy_request *proxy, enum comet_dispatch_result result);
 
 /** Handles the end of an incarnation of an endpoint. @param why a stable code for the log. */
 void
--- a/libcometspindle/adapters/gateway/gateway_directory.c
+++ b/libcometspindle/adapters/gateway/gateway_directory.c
@@ -31,15 +31,15 @@
 {
 	struct comet_gateway *gateway = ctx;
 	const struct comet_gateway_settings *settings = gateway->settings;
-	bool bounded = settings->cold_overage > 0 && service->cold_per_s > 0;
-	const struct comet_slow_start_config bounds = {
-		.cold_us = (uint64_t)service->cold_ms * 1000,
-		.most_per_s = bounded ? service->cold_per_s * settings->cold_overage +
-						settings->cold_slack
-				      : 0,
+	bool bounded = settings->cold_overage > 0 && service->slow_start_per_s > 0;
+	const struct comet_slow_start_config config = {
+		.cold_us = (uint64_t)service->slow_start_ms * 1000,
+		.max_per_s = bounded ? service->slow_start_per_s * settings->cold_overage +
+					       settings->cold_slack
+				     : 0,
 	};
 
-	comet_instances_set_slow_start(gateway->instances, service->name, &bounds);
+	comet_instances_set_slow_start(gateway->instances, service->name, &config);
 }
 
 static void
@@ -76,7 +76,7 @@
 	if (instance != NULL)
 		comet_gateway_process_crashed(gateway, instance, "expired");
 	comet_upstream_close_instance(gateway->upstream, id);
-	comet_incarnations_expire(gateway->lives, id);
+	comet_incarnations_expire(gateway->incarnations, id);
 }
 
 static void
@@ -89,7 +89,7 @@
 	comet_log(COMET_LOG_NOTICE,
 		"event=endpoint_gone endpoint=%s reason=%s draining=%d open=%u "
 		"last_seen_ms_ago=%" G_GUINT64_FORMAT,
-		id, reason, instance->draining, instance->own,
+		id, reason, instance->draining, instance->local_requests,
 		instance->last_seen_us != 0
 			? (comet_timers_now_us() - instance->last_seen_us) / 1000
 			: 0);
@@ -164,7 +164,7 @@
 	/* Before the first list is complete, no earlier process is known. */
 	if (known == NULL && gateway->listed)
 		crash_earlier_at(gateway, record->address);
-	comet_instances_put(gateway->instances, record, comet_timers_now_us());
+	comet_instances_update(gateway->instances, record, comet_timers_now_us());
 	if (record->draining || restarted || moved)
 		comet_upstream_close_instance(gateway->upstream, record->id);
 	if (restarted)
@@ -177,7 +177,7 @@
 {
 	struct comet_gateway *gateway = ctx;
 
-	switch (comet_incarnations_observe(gateway->lives, record, comet_timers_now_us()))
+	switch (comet_incarnations_observe(gateway->incarnations, record, comet_timers_now_us()))
 	{
 	case COMET_INCARNATION_LATEST:
 		apply_instance(gateway, record);
@@ -187,7 +187,7 @@
 			"event=earlier_incarnation_ignored endpoint=%s born=%" G_GUINT64_FORMAT
 			" known=%" G_GUINT64_FORMAT,
 			record->id, record->process_start_ms,
-			comet_incarnations_start_ms(gateway->lives, record->id));
+			comet_incarnations_start_ms(gateway->incarnations, record->id));
 		break;
 	case COMET_INCARNATION_UNSPECIFIED:
 		gateway->counts.unreadable++;
@@ -210,32 +210,32 @@
 {
 	comet_instances_tick(gateway->instances, now_us, on_expired, gateway);
 	comet_evacuations_tick(gateway->evacuations, now_us);
-	comet_incarnations_tick(gateway->lives, now_us, on_earlier_accepted, gateway);
+	comet_incarnations_tick(gateway->incarnations, now_us, on_earlier_accepted, gateway);
 }
 
 static void
 on_instance_gone(void *ctx, const char *id, uint64_t outage_us)
 {
 	struct comet_gateway *gateway = ctx;
-	const struct comet_expiry_config bounds = {
-		.usual_us = (uint64_t)gateway->settings->lapse_ms * 1000,
+	const struct comet_expiry_config config = {
+		.expiry_us = (uint64_t)gateway->settings->lapse_ms * 1000,
 		.settled_us = (uint64_t)gateway->settings->settled_ms * 1000,
 	};
 	uint64_t now_us = comet_timers_now_us();
 
 	if (outage_us != 0 &&
-		comet_instances_schedule_expiry(gateway->instances, id, outage_us, &bounds, now_us))
+		comet_instances_schedule_expiry(gateway->instances, id, outage_us, &config, now_us))
 	{
 		comet_log(COMET_LOG_NOTICE,
 			"event=endpoint_lapsed endpoint=%s outage_ms_ago=%" G_GUINT64_FORMAT, id,
 			(now_us - outage_us) / 1000);
-		comet_incarnations_schedule_expiry(gateway->lives, id);
+		comet_incarnations_schedule_expiry(gateway->incarnations, id);
 		return;
 	}
 	const struct comet_instance *instance = comet_instances_find(gateway->instances, id);
 	if (instance != NULL)
 		comet_gateway_process_crashed(gateway, instance, "removed");
-	comet_incarnations_forget(gateway->lives, id);
+	comet_incarnations_forget(gateway->incarnations, id);
 	drop_endpoint(gateway, id, "removed");
 }
 
@@ -255,7 +255,7 @@
 	if (strcmp(instance->zone, count->zone) != 0)
 		return;
 	count->endpoints++;
-	count->open += instance->own;
+	count->open += instance->local_requests;
 }
 
 static void
@@ -345,13 +345,13 @@
 }
 
 static void
-on_dependency(void *ctx, bool there, const char *why)
+on_availability_changed(void *ctx, bool available, const char *why)
 {
 	struct comet_gateway *gateway = ctx;
 	uint64_t now_us = comet_timers_now_us();
 
-	gateway->directory_lost = !there;
-	if (there)
+	gateway->directory_lost = !available;
+	if (available)
 	{
 		comet_log(COMET_LOG_NOTICE,
 			"event=directory_regained reason=%s lost_ms=%" G_GUINT64_FORMAT, why,
@@ -371,10 +371,10 @@
 	.instance_gone = on_instance_gone,
 	.evacuated = on_evacuated,
 	.restored = on_restored,
-	.refused = on_invalid_item,
+	.item_invalid = on_invalid_item,
 	.revision = on_revision,
 	.epoch = on_epoch,
 	.called = on_called,
 	.answered = on_answered,
-	.dependency = on_dependency,
+	.availability_changed = on_availability_changed,
 };
--- a/libcometspindle/adapters/gateway/gateway_grants.c
+++ b/libcometspindle/adapters/gateway/gateway_grants.c
@@ -50,13 +50,13 @@
 	if (!gateway->settings->ask_keepers)
 		return 0;
 	if (shard->owner_checked_us == 0 || now_us - shard->owner_checked_us >= OWNER_RECHECK_US ||
-		is_unresponsive(&query, shard->keeper))
+		is_unresponsive(&query, shard->owner_vm))
 	{
-		shard->keeper = comet_gossip_find_responsive_owner(gateway->gossip, shard->id,
+		shard->owner_vm = comet_gossip_find_responsive_owner(gateway->gossip, shard->id,
 			shard->zone_id, is_unresponsive, &query, now_us);
 		shard->owner_checked_us = now_us;
 	}
-	return shard->keeper;
+	return shard->owner_vm;
 }
 
 enum comet_placement_owner
@@ -64,11 +64,11 @@
 {
 	const struct comet_gateway *gateway = ctx;
 	uint64_t now_us = comet_timers_now_us();
-	uint32_t keeper = get_shard_owner(gateway, shard, now_us);
+	uint32_t owner_vm = get_shard_owner(gateway, shard, now_us);
 
-	if (keeper == comet_datagram_socket_address(gateway->link))
+	if (owner_vm == comet_datagram_socket_address(gateway->datagram_socket))
 		return COMET_PLACEMENT_OWNER_SELF;
-	if (keeper == 0)
+	if (owner_vm == 0)
 		return COMET_PLACEMENT_OWNER_NONE;
 	return COMET_PLACEMENT_OWNER_OTHER;
 }
@@ -98,7 +98,7 @@
 {
 	struct comet_gateway *gateway = ctx;
 
-	comet_datagram_socket_send(gateway->link, address, data, length);
+	comet_datagram_socket_send(gateway->datagram_socket, address, data, length);
 }
 
 /* Logs a granted slot that is released unused because the endpoint has been evacuated, which its
@@ -108,36 +108,36 @@
 	struct comet_gateway *gateway, const struct comet_placement_item *item, uint32_t key)
 {
 	const struct comet_instance *instance = comet_instances_find_key(gateway->instances, key);
-	const struct comet_proxy_request *relay = item->owner;
+	const struct comet_proxy_request *proxy = item->user_data;
 
 	if (instance == NULL || !instance->evacuated)
 		return;
 	gateway->counts.grants_evacuated++;
 	comet_log(COMET_LOG_INFO, "event=grant_returned request=%s endpoint=%s reason=evacuated",
-		relay->id, instance->id);
+		proxy->id, instance->id);
 }
 
 static void
-on_granted(void *ctx, struct comet_placement_item *item, uint32_t keeper, uint32_t instance_key)
+on_granted(void *ctx, struct comet_placement_item *item, uint32_t owner_vm, uint32_t instance_key)
 {
 	struct comet_gateway *gateway = ctx;
 	uint64_t now_us = comet_timers_now_us();
 
 	gateway->counts.granted++;
 	log_evacuated_grant(gateway, item, instance_key); /* the next call may free the item */
-	if (!comet_placement_granted(gateway->placement, item, keeper, instance_key, now_us))
-		comet_grants_release(gateway->grants, keeper, instance_key, NULL);
+	if (!comet_placement_granted(gateway->placement, item, owner_vm, instance_key, now_us))
+		comet_grants_release(gateway->grants, owner_vm, instance_key, NULL);
 	comet_placement_run(gateway->placement, now_us);
 }
 
 static void
-on_denied(void *ctx, struct comet_placement_item *item, uint32_t shard, uint32_t beyond)
+on_denied(void *ctx, struct comet_placement_item *item, uint32_t shard, uint32_t queue_limit)
 {
 	struct comet_gateway *gateway = ctx;
 	uint64_t now_us = comet_timers_now_us();
 
 	gateway->counts.denied++;
-	comet_placement_denied(gateway->placement, item, shard, beyond, now_us);
+	comet_placement_denied(gateway->placement, item, shard, queue_limit, now_us);
 	comet_placement_run(gateway->placement, now_us);
 }
 
@@ -156,33 +156,33 @@
 	struct comet_gateway *gateway = ctx;
 	uint64_t now_us = comet_timers_now_us();
 
-	gateway->counts.waited++;
+	gateway->counts.slot_waits_expired++;
 	comet_placement_wait_expired(gateway->placement, item, now_us);
 	comet_placement_run(gateway->placement, now_us);
 }
 
 static void
-on_owner_unresponsive(void *ctx, struct comet_placement_item *item, uint32_t keeper)
+on_owner_unresponsive(void *ctx, struct comet_placement_item *item, uint32_t owner_vm)
 {
 	struct comet_gateway *gateway = ctx;
-	const struct comet_proxy_request *relay = item->owner;
+	const struct comet_proxy_request *proxy = item->user_data;
 	char text[COMET_IPV4_TEXT_BYTES];
 	uint64_t now_us = comet_timers_now_us();
 
-	gateway->counts.unanswered++;
-	comet_log(COMET_LOG_NOTICE, "event=owner_unresponsive request=%s owner=%s", relay->id,
-		comet_datagram_socket_format_address(keeper, text));
+	gateway->counts.slot_requests_unanswered++;
+	comet_log(COMET_LOG_NOTICE, "event=owner_unresponsive request=%s owner=%s", proxy->id,
+		comet_datagram_socket_format_address(owner_vm, text));
 	comet_placement_unanswered(gateway->placement, item, now_us);
 	comet_placement_run(gateway->placement, now_us);
 }
 
 /* Records a slot that was granted to a request of another VM. */
 static void
-record_grant(struct comet_gateway *gateway, uint32_t asker, const struct comet_instance *instance,
-	uint32_t prompt_tokens)
+record_grant(struct comet_gateway *gateway, uint32_t requester,
+	const struct comet_instance *instance, uint32_t prompt_tokens)
 {
 	comet_gossip_slot_granted(
-		gateway->gossip, asker, instance->key, prompt_tokens, comet_timers_now_us());
+		gateway->gossip, requester, instance->key, prompt_tokens, comet_timers_now_us());
 }
 
 /* Converts the remaining milliseconds in a datagram to a point in time; 0 stays 0. */
@@ -195,18 +195,18 @@
 /* Selects an endpoint for a slot request of another VM. Returns 0 if the request has to wait or is
  * denied. */
 static uint32_t
-choose_for_remote(void *ctx, const comet_SlotAsk *ask, struct comet_placement_wait_estimate *wait)
+pick_for_remote(void *ctx, const comet_SlotAsk *ask, struct comet_placement_wait_estimate *wait)
 {
 	struct comet_gateway *gateway = ctx;
 	uint64_t now_us = comet_timers_now_us();
 	struct comet_slot_request wanted = {
-		.asker = ask->asker,
+		.requester = ask->asker,
 		.number = ask->number,
 		.shard = ask->shard,
-		.beyond = ask->beyond,
-		.except = ask->except,
-		.n_except = ask->except_count,
-		.job =
+		.queue_limit = ask->beyond,
+		.excluded = ask->except,
+		.n_excluded = ask->except_count,
+		.size =
 			{
 				.prompt_tokens = ask->prompt_tokens,
 				.output_tokens = ask->output_tokens,
@@ -215,14 +215,14 @@
 		.team_rank = ask->team_rank,
 		.route_rank = ask->route_rank,
 		.late = ask->late,
-		.end_us = time_from_remaining(ask->left_ms, now_us),
+		.answer_deadline_us = time_from_remaining(ask->left_ms, now_us),
 		.soft_deadline_us = time_from_remaining(ask->aim_ms, now_us),
 		.wait_us = (uint64_t)ask->wait_ms * 1000,
 	};
 	const struct comet_instance *instance =
-		comet_placement_choose_remote(gateway->placement, &wanted, now_us, wait);
+		comet_placement_pick_remote(gateway->placement, &wanted, now_us, wait);
 
-	gateway->counts.answered++;
+	gateway->counts.slot_requests_answered++;
 	if (instance == NULL)
 		return 0;
 	record_grant(gateway, ask->asker, instance, ask->prompt_tokens);
@@ -235,8 +235,8 @@
 {
 	struct comet_gateway *gateway = ctx;
 
-	record_grant(gateway, ask->asker, instance, ask->job.prompt_tokens);
-	comet_grants_grant(gateway->grants, ask->asker, ask->number, instance->key);
+	record_grant(gateway, ask->requester, instance, ask->size.prompt_tokens);
+	comet_grants_grant(gateway->grants, ask->requester, ask->number, instance->key);
 }
 
 /* Applies the result that another VM reported for a slot. Without it, the owner would go on
@@ -263,7 +263,7 @@
 	comet_gossip_slot_released(gateway->gossip, freed->asker, freed->instance);
 	if (instance != NULL)
 	{
-		comet_instance_learn(instance, !freed->plain, freed->taken_us, freed->events);
+		comet_instance_add_sample(instance, !freed->plain, freed->taken_us, freed->events);
 		apply_remote_result(instance, comet_grants_result(freed->result), now_us);
 	}
 	comet_placement_run(gateway->placement, now_us);
@@ -273,9 +273,9 @@
 	.send = send_datagram,
 	.granted = on_granted,
 	.denied = on_denied,
-	.waits = on_expected_wait,
-	.waited = on_wait_expired,
+	.expected_wait = on_expected_wait,
+	.wait_expired = on_wait_expired,
 	.unanswered = on_owner_unresponsive,
-	.choose = choose_for_remote,
-	.freed = on_remote_release,
+	.pick = pick_for_remote,
+	.remote_release = on_remote_release,
 };
--- a/libcometspindle/adapters/gateway/gateway_metrics.c
+++ b/libcometspindle/adapters/gateway/gateway_metrics.c
@@ -33,11 +33,11 @@
 		{"relayed_error", counts->relayed_errors},
 		{"refused_early", counts->refused_early},
 		{"refused_team", counts->refused_team},
-		{"refused_crashing", counts->refused_crashing},
+		{"refused_crashing", counts->refused_quarantined},
 		{"refused_other", counts->refused_other},
 		{"failed", counts->failed},
-		{"cut", counts->cut},
-		{"caller_left", counts->left},
+		{"cut", counts->aborted},
+		{"caller_left", counts->callers_disconnected},
 	};
 
 	put_type(out, "requests_total", "counter");
@@ -57,8 +57,8 @@
 		"comet_slot_asks_total{outcome=\"waited\"} %" G_GUINT64_FORMAT "\n"
 		"comet_slot_asks_total{outcome=\"unanswered\"} %" G_GUINT64_FORMAT "\n"
 		"comet_slot_asks_total{outcome=\"answered_others\"} %" G_GUINT64_FORMAT "\n",
-		counts->granted, counts->denied, counts->waited, counts->unanswered,
-		counts->answered);
+		counts->granted, counts->denied, counts->slot_waits_expired,
+		counts->slot_requests_unanswered, counts->slot_requests_answered);
 }
 
 static void
@@ -69,7 +69,8 @@
 		"comet_charges_total{outcome=\"asked\"} %" G_GUINT64_FORMAT "\n"
 		"comet_charges_total{outcome=\"undecided\"} %" G_GUINT64_FORMAT "\n"
 		"comet_charges_total{outcome=\"answered_others\"} %" G_GUINT64_FORMAT "\n",
-		counts->charges_asked, counts->charges_undecided, counts->charges_answered);
+		counts->quota_requests_sent, counts->quota_requests_failed,
+		counts->quota_requests_answered);
 }
 
 /* Writes the directory calls by result, and the directory mode: direct (0), reader of the zone (1),
@@ -100,7 +101,7 @@
 
 	put(out, "crash_records", "gauge", counts.records);
 	put(out, "crash_suspects", "gauge", counts.crash_suspects);
-	put(out, "requests_barred", "gauge", counts.barred);
+	put(out, "requests_barred", "gauge", counts.quarantined);
 }
 
 /* State of one response. */
@@ -203,7 +204,7 @@
 running_of(const struct comet_instance *instance, uint64_t now_us, double *value)
 {
 	(void)now_us;
-	*value = instance->own;
+	*value = instance->local_requests;
 	return true;
 }
 
@@ -211,7 +212,7 @@
 relative_latency_of(const struct comet_instance *instance, uint64_t now_us, double *value)
 {
 	(void)now_us;
-	*value = instance->pace;
+	*value = instance->relative_latency;
 	return true;
 }
 
@@ -234,8 +235,8 @@
 static bool
 slow_start_of(const struct comet_instance *instance, uint64_t now_us, double *value)
 {
-	*value = now_us < instance->start.until_us ? 1 : 0;
-	return instance->start_bounds->most_per_s > 0;
+	*value = now_us < instance->slow_start.until_us ? 1 : 0;
+	return instance->slow_start_config->max_per_s > 0;
 }
 
 static bool
@@ -353,7 +354,8 @@
 		[COMET_GATEWAY_USE_DIRECTORY] = "directory",
 		[COMET_GATEWAY_USE_PEERS] = "peers",
 	};
-	const struct comet_byte_counters *gossip = comet_datagram_socket_bytes(gateway->link);
+	const struct comet_byte_counters *gossip =
+		comet_datagram_socket_bytes(gateway->datagram_socket);
 
 	put_type(out, "link_bytes_total", "counter");
 	for (size_t i = 0; i < COMET_GATEWAY_USES; i++)
@@ -390,18 +392,18 @@
 	const struct comet_upstream_counts *up = comet_upstream_counts(gateway->upstream);
 	GString *out = g_string_new(NULL);
 	uint32_t known = 0;
-	uint32_t heard = 0;
+	uint32_t alive = 0;
 	struct page page = {.gateway = gateway, .out = out, .now_us = comet_timers_now_us()};
 
-	comet_gossip_count(gateway->gossip, &known, &heard);
+	comet_gossip_count_peers(gateway->gossip, &known, &alive);
 	put_outcomes(out, &gateway->counts);
 	comet_counter_set_print(gateway->ends, out, "comet_request_ends_total");
 	put_latencies(out, gateway);
-	put(out, "requests_open", "gauge", gateway->calls);
+	put(out, "requests_open", "gauge", gateway->open_request_count);
 	put_services(&page);
 	put_teams(&page);
 	put(out, "dispatches_total", "counter", (double)gateway->counts.dispatched);
-	put(out, "repeats_total", "counter", (double)gateway->counts.repeated);
+	put(out, "repeats_total", "counter", (double)gateway->counts.retried);
 	put(out, "resumes_total", "counter", (double)gateway->counts.resumed);
 	put_slot_requests(out, &gateway->counts);
 	put_quota_requests(out, &gateway->counts);
@@ -409,7 +411,7 @@
 	put_crashes(out, gateway);
 	put_evacuations(out, gateway);
 	put(out, "vms_known", "gauge", known);
-	put(out, "vms_heard", "gauge", heard);
+	put(out, "vms_heard", "gauge", alive);
 	put(out, "endpoint_connections_opened_total", "counter", (double)up->opened);
 	put(out, "endpoint_connections_reused_total", "counter", (double)up->reused);
 	put(out, "endpoint_connections_open", "gauge", up->open);
--- a/libcometspindle/adapters/gateway/gateway_private.h
+++ b/libcometspindle/adapters/gateway/gateway_private.h
@@ -27,28 +27,27 @@
 {
 	uint64_t admitted;
 	uint64_t dispatched;
-	uint64_t repeated;
+	uint64_t retried;
 	uint64_t resumed;
-	uint64_t granted;           /**< slots granted by other VMs */
-	uint64_t grants_evacuated;  /**< slots granted by other VMs and returned, since the
-					zone was evacuated */
-	uint64_t denied;            /**< slot requests that were denied */
-	uint64_t waited;            /**< slot requests that waited at the owner without a grant */
-	uint64_t unanswered;        /**< slot requests without an answer */
-	uint64_t answered;          /**< slot requests of other VMs, answered as owner */
-	uint64_t charges_asked;     /**< quota requests to their owners */
-	uint64_t charges_undecided; /**< quota requests without an answer or with an unknown result
-				     */
-	uint64_t charges_answered;  /**< quota requests of other VMs, answered as owner */
+	uint64_t granted;            /**< slots granted by other VMs */
+	uint64_t grants_evacuated;   /**< slots granted by other VMs and returned, since the
+					 zone was evacuated */
+	uint64_t denied;             /**< slot requests that were denied */
+	uint64_t slot_waits_expired; /**< slot requests that waited at the owner without a grant */
+	uint64_t slot_requests_unanswered; /**< slot requests without an answer */
+	uint64_t slot_requests_answered;   /**< slot requests of other VMs, answered as owner */
+	uint64_t quota_requests_sent;      /**< quota requests to their owners */
+	uint64_t quota_requests_failed;    /**< quota requests without a decision */
+	uint64_t quota_requests_answered;  /**< quota requests of other VMs, answered as owner */
 	uint64_t served;
 	uint64_t relayed_errors;
-	uint64_t refused_early;    /**< not run, with a time to retry after */
-	uint64_t refused_team;     /**< over the team's limit */
-	uint64_t refused_crashing; /**< quarantined: it crashes endpoints */
+	uint64_t refused_early;       /**< not run, with a time to retry after */
+	uint64_t refused_team;        /**< over the team's limit */
+	uint64_t refused_quarantined; /**< quarantined: it crashes endpoints */
 	uint64_t refused_other;
-	uint64_t failed; /**< may have run, without a complete response */
-	uint64_t cut;    /**< the response could not be completed */
-	uint64_t left;   /**< the caller left */
+	uint64_t failed;               /**< may have run, without a complete response */
+	uint64_t aborted;              /**< the response could not be completed */
+	uint64_t callers_disconnected; /**< the caller left */
 	uint64_t directory_calls[COMET_DIRECTORY_CALLS]; /**< by result */
 	uint64_t directory_losses;                       /**< outages of the directory */
 	uint64_t unreadable;                             /**< invalid items of the directory */
@@ -89,7 +88,7 @@
 	struct comet_http_server *control;
 	struct comet_directory *directory;
 	struct comet_instances *instances;
-	struct comet_incarnations *lives;
+	struct comet_incarnations *incarnations;
 	struct comet_evacuations *evacuations;
 	struct comet_placement *placement;
 	struct comet_rate_limiter *rate_limiter;
@@ -98,12 +97,12 @@
 	struct comet_gossip *gossip;
 	struct comet_grants *grants;
 	struct comet_timer *grants_timer; /**< timeouts of pending slot requests; NULL: none */
-	struct comet_quota_requests *charges;
+	struct comet_quota_requests *quota_requests;
 	struct comet_timer *quota_timer; /**< timeouts of pending quota requests; NULL: none */
 	struct comet_reader_election *reader_election;
 	enum comet_directory_mode reading; /**< whether this VM reads the directory itself */
 	uint64_t reported_us;              /**< when this VM last reported; 0: never */
-	struct comet_datagram_socket *link;
+	struct comet_datagram_socket *datagram_socket;
 	struct comet_route_table *table; /**< NULL until one has been read */
 	struct comet_gateway_counts counts;
 	struct comet_byte_counters bytes[COMET_GATEWAY_USES];
@@ -111,12 +110,12 @@
 		routes_lag;             /**< from the report of a document until it is in force */
 	struct comet_counter_set *ends; /**< requests by outcome, kind and rank */
 	struct comet_gateway_times times[COMET_ROUTE_KINDS];
-	uint32_t calls;         /**< requests that are open */
-	GQueue relays;          /**< of struct comet_proxy_request: all open requests */
-	GList *crash_checks;    /**< of struct crash_check (gateway_crashes.c) */
-	bool newly_quarantined; /**< a request was quarantined: attempts of it may be queued */
-	GQueue active_attempts; /**< of struct comet_proxy_request: sent to an endpoint */
-	struct comet_random draw;
+	uint32_t open_request_count; /**< requests that are open */
+	GQueue open_requests;        /**< of struct comet_proxy_request: all open requests */
+	GList *crash_checks;         /**< of struct crash_check (gateway_crashes.c) */
+	bool newly_quarantined;      /**< a request was quarantined: attempts of it may be queued */
+	GQueue active_attempts;      /**< of struct comet_proxy_request: sent to an endpoint */
+	struct comet_random random;
 	uint64_t began_us;
 	bool discovering;                      /**< this VM still discovers other VMs */
 	uint64_t discovered_us;                /**< when the last new VM was discovered; 0: none */
--- a/libcometspindle/adapters/gateway/gateway_quota.c
+++ b/libcometspindle/adapters/gateway/gateway_quota.c
@@ -26,7 +26,7 @@
 	struct comet_gateway *gateway = ctx;
 
 	gateway->quota_timer = NULL;
-	if (comet_quota_requests_tick(gateway->charges, comet_timers_now_us()))
+	if (comet_quota_requests_tick(gateway->quota_requests, comet_timers_now_us()))
 		gateway->quota_timer = comet_timers_add(
 			gateway->timers, gateway, QUOTA_TICK_US, on_quota_tick, gateway);
 }
@@ -34,7 +34,7 @@
 /* Context of is_unresponsive(). */
 struct responsiveness_query
 {
-	const struct comet_quota_requests *charges;
+	const struct comet_quota_requests *quota_requests;
 	uint64_t now_us;
 };
 
@@ -43,7 +43,7 @@
 {
 	const struct responsiveness_query *query = ctx;
 
-	return comet_quota_requests_is_unresponsive(query->charges, vm, query->now_us);
+	return comet_quota_requests_is_unresponsive(query->quota_requests, vm, query->now_us);
 }
 
 /* Returns the owner of a team's quota, which may be this VM; 0 if the settings disable quota
@@ -51,7 +51,7 @@
 static uint32_t
 get_quota_owner(const struct comet_gateway *gateway, uint32_t team_id, uint64_t now_us)
 {
-	const struct responsiveness_query query = {gateway->charges, now_us};
+	const struct responsiveness_query query = {gateway->quota_requests, now_us};
 
 	if (!gateway->settings->ask_keepers)
 		return 0;
@@ -63,95 +63,95 @@
 }
 
 static void
-refuse_rate_limited(struct comet_proxy_request *relay, uint32_t keeper, uint32_t wait_ms)
+refuse_rate_limited(struct comet_proxy_request *proxy, uint32_t owner_vm, uint32_t wait_ms)
 {
-	struct comet_gateway *gateway = relay->gateway;
+	struct comet_gateway *gateway = proxy->gateway;
 	char text[COMET_IPV4_TEXT_BYTES];
 
 	gateway->counts.refused_team++;
 	comet_log(COMET_LOG_INFO,
 		"event=rate_limited request=%s team=%s charge=%" G_GUINT64_FORMAT
 		" remaining=%.0f owner=%s",
-		relay->id, relay->team->name, relay->quota_amount,
+		proxy->id, proxy->team->name, proxy->quota_amount,
 		comet_rate_limiter_remaining(
-			gateway->rate_limiter, relay->team->id, comet_timers_now_us()),
-		keeper != 0 ? comet_datagram_socket_format_address(keeper, text) : "-");
-	comet_proxy_request_respond_error(relay, 429, "team_limit", wait_ms);
+			gateway->rate_limiter, proxy->team->id, comet_timers_now_us()),
+		owner_vm != 0 ? comet_datagram_socket_format_address(owner_vm, text) : "-");
+	comet_proxy_request_respond_error(proxy, 429, "team_limit", wait_ms);
 }
 
 static void
-charge_quota(struct comet_proxy_request *relay);
+charge_quota(struct comet_proxy_request *proxy);
 
 static void
 on_quota_retry(void *ctx)
 {
-	struct comet_proxy_request *relay = ctx;
+	struct comet_proxy_request *proxy = ctx;
 
-	relay->quota_retry_timer = NULL;
-	relay->owners_tried = 0;
-	charge_quota(relay);
+	proxy->quota_retry_timer = NULL;
+	proxy->owners_tried = 0;
+	charge_quota(proxy);
 }
 
 /* Decides on this VM, either as the owner of the quota or from the usage that gossip reports. */
 static void
 decide_locally(
-	struct comet_proxy_request *relay, enum comet_rate_limiter_source source, uint64_t now_us)
+	struct comet_proxy_request *proxy, enum comet_rate_limiter_source source, uint64_t now_us)
 {
-	struct comet_gateway *gateway = relay->gateway;
+	struct comet_gateway *gateway = proxy->gateway;
 	bool wait = gateway->discovering && source == COMET_RATE_LIMITER_GOSSIP &&
-		    now_us < relay->arrived_us + DISCOVERY_WAIT_US;
-	uint32_t wait_ms = comet_rate_limiter_spend(gateway->rate_limiter, relay->team->id,
-		relay->route->priority, relay->quota_amount, source, now_us);
+		    now_us < proxy->arrived_us + DISCOVERY_WAIT_US;
+	uint32_t wait_ms = comet_rate_limiter_spend(gateway->rate_limiter, proxy->team->id,
+		proxy->route->priority, proxy->quota_amount, source, now_us);
 
 	if (wait_ms == 0)
 	{
-		relay->quota_charged = true;
-		relay->on_admitted(relay, now_us);
+		proxy->quota_charged = true;
+		proxy->on_admitted(proxy, now_us);
 	}
 	else if (wait)
-		relay->quota_retry_timer = comet_timers_add(
-			gateway->timers, relay, DISCOVERY_RETRY_US, on_quota_retry, relay);
+		proxy->quota_retry_timer = comet_timers_add(
+			gateway->timers, proxy, DISCOVERY_RETRY_US, on_quota_retry, proxy);
 	else
-		refuse_rate_limited(relay, 0, wait_ms);
+		refuse_rate_limited(proxy, 0, wait_ms);
 }
 
 static void
-charge_quota(struct comet_proxy_request *relay)
+charge_quota(struct comet_proxy_request *proxy)
 {
-	struct comet_gateway *gateway = relay->gateway;
+	struct comet_gateway *gateway = proxy->gateway;
 	uint64_t now_us = comet_timers_now_us();
 
-	if (relay->team == NULL || relay->team->rate_per_s == 0)
+	if (proxy->team == NULL || proxy->team->rate_per_s == 0)
 	{
-		relay->on_admitted(relay, now_us);
+		proxy->on_admitted(proxy, now_us);
 		return;
 	}
-	uint32_t keeper = get_quota_owner(gateway, relay->team->id, now_us);
-	if (keeper == 0 || relay->owners_tried >= QUOTA_OWNERS_MAX)
+	uint32_t owner_vm = get_quota_owner(gateway, proxy->team->id, now_us);
+	if (owner_vm == 0 || proxy->owners_tried >= QUOTA_OWNERS_MAX)
 	{
-		decide_locally(relay, COMET_RATE_LIMITER_GOSSIP, now_us);
+		decide_locally(proxy, COMET_RATE_LIMITER_GOSSIP, now_us);
 		return;
 	}
-	if (keeper == comet_datagram_socket_address(gateway->link))
+	if (owner_vm == comet_datagram_socket_address(gateway->datagram_socket))
 	{
-		decide_locally(relay, COMET_RATE_LIMITER_OWNER, now_us);
+		decide_locally(proxy, COMET_RATE_LIMITER_OWNER, now_us);
 		return;
 	}
-	const struct comet_quota_request wanted = comet_proxy_request_charge_amount(relay);
-	relay->owners_tried++;
-	gateway->counts.charges_asked++;
-	comet_quota_requests_send(gateway->charges, relay, keeper, &wanted, now_us);
+	const struct comet_quota_request wanted = comet_proxy_request_charge_amount(proxy);
+	proxy->owners_tried++;
+	gateway->counts.quota_requests_sent++;
+	comet_quota_requests_send(gateway->quota_requests, proxy, owner_vm, &wanted, now_us);
 	if (gateway->quota_timer == NULL)
 		gateway->quota_timer = comet_timers_add(
 			gateway->timers, gateway, QUOTA_TICK_US, on_quota_tick, gateway);
 }
 
 void
-comet_proxy_request_charge(struct comet_proxy_request *relay,
-	void (*on_admitted)(struct comet_proxy_request *relay, uint64_t now_us))
+comet_proxy_request_charge(struct comet_proxy_request *proxy,
+	void (*on_admitted)(struct comet_proxy_request *proxy, uint64_t now_us))
 {
-	relay->on_admitted = on_admitted;
-	charge_quota(relay);
+	proxy->on_admitted = on_admitted;
+	charge_quota(proxy);
 }
 
 static void
@@ -159,65 +159,66 @@
 {
 	struct comet_gateway *gateway = ctx;
 
-	comet_datagram_socket_send(gateway->link, address, data, length);
+	comet_datagram_socket_send(gateway->datagram_socket, address, data, length);
 }
 
 static void
-on_decided(void *ctx, void *owner, uint32_t keeper, uint32_t wait_ms)
+on_decided(void *ctx, void *user_data, uint32_t owner_vm, uint32_t wait_ms)
 {
 	struct comet_gateway *gateway = ctx;
-	struct comet_proxy_request *relay = owner;
+	struct comet_proxy_request *proxy = user_data;
 	uint64_t now_us = comet_timers_now_us();
 
 	if (wait_ms != 0)
 	{
-		refuse_rate_limited(relay, keeper, wait_ms);
+		refuse_rate_limited(proxy, owner_vm, wait_ms);
 		return;
 	}
-	comet_rate_limiter_charged(
-		gateway->rate_limiter, relay->team->id, relay->quota_amount, now_us);
-	relay->quota_charged = true;
-	relay->quota_owner_vm = keeper;
-	relay->on_admitted(relay, now_us);
+	comet_rate_limiter_add_own(
+		gateway->rate_limiter, proxy->team->id, proxy->quota_amount, now_us);
+	proxy->quota_charged = true;
+	proxy->quota_owner_vm = owner_vm;
+	proxy->on_admitted(proxy, now_us);
 }
 
 static void
-on_quota_request_failed(void *ctx, void *owner, uint32_t keeper)
+on_quota_request_failed(void *ctx, void *user_data, uint32_t owner_vm)
 {
 	struct comet_gateway *gateway = ctx;
-	struct comet_proxy_request *relay = owner;
+	struct comet_proxy_request *proxy = user_data;
 	char text[COMET_IPV4_TEXT_BYTES];
 
-	gateway->counts.charges_undecided++;
+	gateway->counts.quota_requests_failed++;
 	comet_log(COMET_LOG_INFO, "event=quota_request_failed request=%s team=%s owner=%s",
-		relay->id, relay->team->name, comet_datagram_socket_format_address(keeper, text));
-	charge_quota(relay);
+		proxy->id, proxy->team->name, comet_datagram_socket_format_address(owner_vm, text));
+	charge_quota(proxy);
 }
 
 static bool
-on_remote_charge(
-	void *ctx, uint32_t asker, const struct comet_quota_request *charge, uint32_t *wait_ms)
+on_remote_charge(void *ctx, uint32_t requester, const struct comet_quota_request *quota_request,
+	uint32_t *wait_ms)
 {
 	struct comet_gateway *gateway = ctx;
 
-	gateway->counts.charges_answered++;
-	return comet_rate_limiter_charge_remote(gateway->rate_limiter, asker, charge->team,
-		charge->rank, charge->amount, comet_timers_now_us(), wait_ms);
+	gateway->counts.quota_requests_answered++;
+	return comet_rate_limiter_charge_remote(gateway->rate_limiter, requester,
+		quota_request->team, quota_request->rank, quota_request->amount,
+		comet_timers_now_us(), wait_ms);
 }
 
 static void
-on_remote_refund(void *ctx, uint32_t asker, const struct comet_quota_request *charge)
+on_remote_refund(void *ctx, uint32_t requester, const struct comet_quota_request *quota_request)
 {
 	struct comet_gateway *gateway = ctx;
 
-	comet_rate_limiter_refund_remote(
-		gateway->rate_limiter, asker, charge->team, charge->amount, comet_timers_now_us());
+	comet_rate_limiter_refund_remote(gateway->rate_limiter, requester, quota_request->team,
+		quota_request->amount, comet_timers_now_us());
 }
 
 const struct comet_quota_requests_ops comet_gateway_quota_ops = {
 	.send = send_datagram,
 	.decided = on_decided,
-	.undecided = on_quota_request_failed,
-	.charge = on_remote_charge,
-	.returned = on_remote_refund,
+	.failed = on_quota_request_failed,
+	.remote_charge = on_remote_charge,
+	.remote_refund = on_remote_refund,
 };
--- a/libcometspindle/adapters/gateway/gateway_reader_election.c
+++ b/libcometspindle/adapters/gateway/gateway_reader_election.c
@@ -38,7 +38,7 @@
 		.which_body = comet_Datagram_news_tag,
 		.body.news =
 			{
-				.address = comet_datagram_socket_address(gateway->link),
+				.address = comet_datagram_socket_address(gateway->datagram_socket),
 				.position = gateway->position,
 				.age_ms = (uint32_t)(age_us / 1000),
 				.endpoints = gateway->endpoints_position,
@@ -58,14 +58,14 @@
 static void
 resync(struct comet_gateway *gateway, uint64_t now_us)
 {
-	uint32_t vm = comet_reader_election_ahead(
+	uint32_t vm = comet_reader_election_find_ahead(
 		gateway->reader_election, gateway->endpoints_position, now_us);
 
 	if (gateway->reading != COMET_DIRECTORY_MODE_FOLLOWER)
 		return;
 	/* A reader may report endpoints before it has read an older document. */
 	if (vm == 0 && gateway->directory->ops->missing_document(gateway->directory) == 0)
-		vm = comet_reader_election_ahead_complete(
+		vm = comet_reader_election_find_complete(
 			gateway->reader_election, gateway->position, now_us);
 	if (vm != 0)
 		comet_gateway_request_endpoints(gateway, vm);
@@ -75,7 +75,7 @@
 void
 comet_gateway_handle_report(struct comet_gateway *gateway, const comet_News *news, uint64_t now_us)
 {
-	const struct comet_reader_report told = {
+	const struct comet_reader_report reported = {
 		.vm = news->address,
 		.position = news->endpoints != 0 ? news->endpoints : news->position,
 		.complete = news->position,
@@ -84,11 +84,11 @@
 
 	if (!comet_gossip_is_zone_peer_alive(gateway->gossip, news->address))
 		return; /* the sender is in another zone or not yet known */
-	comet_reader_election_report(gateway->reader_election, &told, now_us);
+	comet_reader_election_report(gateway->reader_election, &reported, now_us);
 	resync(gateway, now_us);
 	if (gateway->reading == COMET_DIRECTORY_MODE_FOLLOWER &&
-		told.position <= gateway->endpoints_position)
-		gateway->directory->ops->followed(gateway->directory);
+		reported.position <= gateway->endpoints_position)
+		gateway->directory->ops->set_synced(gateway->directory);
 }
 
 static void
@@ -106,12 +106,12 @@
 comet_gateway_tick_reader_election(struct comet_gateway *gateway, uint64_t now_us)
 {
 	struct comet_reader_election_state state = {
-		.listed = gateway->listed && gateway->table != NULL,
+		.has_list = gateway->listed && gateway->table != NULL,
 		.leaving = gateway->stop_us != 0,
 		.position = gateway->endpoints_position,
 	};
 
-	comet_gossip_count_zone_peers(gateway->gossip, now_us, &state.zone_vms, &state.better);
+	comet_gossip_count_zone_peers(gateway->gossip, now_us, &state.zone_vms, &state.preferred);
 	set_mode(gateway, comet_reader_election_decide(gateway->reader_election, &state, now_us));
 	if (now_us - gateway->reported_us >= REPORT_US)
 		comet_gateway_report_position(gateway, now_us);
--- a/libcometspindle/adapters/gateway/gateway_resync.c
+++ b/libcometspindle/adapters/gateway/gateway_resync.c
@@ -42,7 +42,7 @@
 			response->failure != NULL ? response->failure : "status", response->status);
 		return false;
 	}
-	if (gateway->directory->ops->offer(
+	if (gateway->directory->ops->apply(
 		    gateway->directory, response->body, response->length, &error))
 		return true;
 	comet_log(COMET_LOG_WARNING, "event=resync_rejected error=\"%s\"", error->message);
@@ -57,7 +57,8 @@
 
 	gateway->resyncing = NULL; /* the fetch frees itself after this handler */
 	if (!apply_response(gateway, response))
-		comet_reader_election_failed(gateway->reader_election, comet_timers_now_us());
+		comet_reader_election_report_failure(
+			gateway->reader_election, comet_timers_now_us());
 	comet_gateway_fetch_document(gateway, comet_timers_now_us());
 }
 
@@ -142,7 +143,7 @@
 	else if (gateway->document_missing_us == 0)
 		gateway->document_missing_us = now_us;
 	if (position == 0 || gateway->fetching_document != NULL ||
-		ops->is_arriving(gateway->directory) ||
+		ops->is_receiving(gateway->directory) ||
 		(gateway->document_failed_us != 0 &&
 			now_us - gateway->document_failed_us < READER_RETRY_US))
 		return;
@@ -171,7 +172,7 @@
 comet_gateway_resync(struct comet_gateway *gateway, uint64_t now_us)
 {
 	uint32_t vm = comet_gossip_pick_newer_peer(
-		gateway->gossip, gateway->position, comet_random_u32(&gateway->draw));
+		gateway->gossip, gateway->position, comet_random_u32(&gateway->random));
 	uint64_t grace_us = gateway->directory_lost ? STALE_GRACE_US : STALE_GRACE_ANSWERED_US;
 
 	if (vm == 0)
@@ -184,7 +185,7 @@
 		return;
 	if (gateway->stale_us == 0)
 		gateway->stale_us = now_us;
-	if (gateway->directory->ops->is_arriving(gateway->directory) &&
+	if (gateway->directory->ops->is_receiving(gateway->directory) &&
 		now_us - gateway->stale_us < ARRIVING_US)
 		return;
 	if (restart_stale_watch(gateway, now_us))
--- a/libcometspindle/adapters/gateway/gateway_send.c
+++ b/libcometspindle/adapters/gateway/gateway_send.c
@@ -15,67 +15,68 @@
 #define SILENCE_MIN_US 600000
 
 bool
-comet_proxy_request_may_retry(struct comet_proxy_request *relay)
+comet_proxy_request_may_retry(struct comet_proxy_request *proxy)
 {
-	struct comet_gateway *gateway = relay->gateway;
+	struct comet_gateway *gateway = proxy->gateway;
 	uint64_t now_us = comet_timers_now_us();
 
-	if (relay->may_have_run && !comet_route_is_retryable(relay->route))
+	if (proxy->may_have_run && !comet_route_is_retryable(proxy->route))
 		return false;
 	/* The crash of a silent endpoint is confirmed only seconds later. The request must not be
 	 * sent to further endpoints in that time. */
-	if (comet_proxy_request_is_quarantined(relay) ||
+	if (comet_proxy_request_is_quarantined(proxy) ||
 		comet_crash_tracker_is_undecided(
-			gateway->crash_tracker, &relay->fingerprint, now_us))
+			gateway->crash_tracker, &proxy->fingerprint, now_us))
 		return false;
-	if (relay->attempts >= MAX(relay->route->max_attempts, 1) || now_us >= relay->deadline_us)
+	if (proxy->attempts >= MAX(proxy->route->max_attempts, 1) || now_us >= proxy->deadline_us)
 		return false;
-	if (relay->attempts == 0)
+	if (proxy->attempts == 0)
 		return true;
-	return comet_retry_budget_take(gateway->retries, relay->service, now_us);
+	return comet_retry_budget_take(gateway->retries, proxy->service, now_us);
 }
 
 void
-comet_proxy_request_retry(struct comet_proxy_request *relay, const char *reason)
+comet_proxy_request_retry(struct comet_proxy_request *proxy, const char *reason)
 {
-	struct comet_gateway *gateway = relay->gateway;
+	struct comet_gateway *gateway = proxy->gateway;
 	uint64_t now_us = comet_timers_now_us();
 
-	gateway->counts.repeated++;
+	gateway->counts.retried++;
 	comet_log(COMET_LOG_INFO,
 		"event=retried request=%s reason=%s attempts=%u events=%u "
 		"unfinished_bytes=%" G_GUINT64_FORMAT,
-		relay->id, reason, relay->attempts, comet_proxy_request_events(relay),
-		relay->unfinished_bytes);
-	if (!comet_placement_has_untried(gateway->placement, &relay->item))
+		proxy->id, reason, proxy->attempts, comet_proxy_request_events(proxy),
+		proxy->unfinished_bytes);
+	if (!comet_placement_has_unattempted(gateway->placement, &proxy->item))
 	{
-		relay->item.n_tried = 0; /* all endpoints have been tried: allow them again */
-		relay->retry_same_endpoint = true;
+		proxy->item.n_attempted = 0; /* all endpoints have been tried: allow them again */
+		proxy->retry_same_endpoint = true;
 	}
-	relay->item.dispatch_deadline_us =
-		MAX(relay->item.dispatch_deadline_us, now_us + (relay->deadline_us - now_us) / 2);
+	proxy->item.dispatch_deadline_us =
+		MAX(proxy->item.dispatch_deadline_us, now_us + (proxy->deadline_us - now_us) / 2);
 	/* Once the response has started, the relevant latency is the gap that the caller sees. */
-	if (relay->response_started)
-		relay->item.soft_deadline_us = now_us + (uint64_t)relay->route->gap_ms * 1000;
-	comet_placement_submit(gateway->placement, &relay->item, now_us);
+	if (proxy->response_started)
+		proxy->item.soft_deadline_us =
+			now_us + (uint64_t)proxy->route->target_gap_ms * 1000;
+	comet_placement_submit(gateway->placement, &proxy->item, now_us);
 }
 
 /* Writes the request that is sent to the endpoint. */
 static GString *
 write_request(
-	struct comet_proxy_request *relay, const struct comet_instance *instance, uint64_t now_us)
+	struct comet_proxy_request *proxy, const struct comet_instance *instance, uint64_t now_us)
 {
-	const GByteArray *body = relay->request->body;
+	const GByteArray *body = proxy->request->body;
 	struct comet_forward_params forward = {
-		.left_ms = MAX((relay->deadline_us - now_us) / 1000, 1),
+		.remaining_ms = MAX((proxy->deadline_us - now_us) / 1000, 1),
 		.instance = instance->id,
-		.team = relay->team != NULL ? relay->team->name : NULL,
-		.last_event = relay->resuming ? comet_event_stream_last_id(relay->events) : NULL,
+		.team = proxy->team != NULL ? proxy->team->name : NULL,
+		.last_event = proxy->resuming ? comet_event_stream_last_id(proxy->events) : NULL,
 		.body_bytes = body->len,
 	};
 	GString *out = g_string_sized_new(1024 + body->len);
 
-	comet_forward_write_head(out, relay->request->head, relay->gateway->names, &forward);
+	comet_forward_write_head(out, proxy->request->head, proxy->gateway->names, &forward);
 	g_string_append_len(out, (const char *)body->data, body->len);
 	return out;
 }
@@ -84,67 +85,67 @@
  * only be resumed if it is a stream whose events have ids. Otherwise the caller would receive the
  * output of two runs as one response. */
 static bool
-can_be_continued(const struct comet_proxy_request *relay)
+can_be_continued(const struct comet_proxy_request *proxy)
 {
-	if (!relay->response_started)
+	if (!proxy->response_started)
 		return true;
-	return comet_proxy_request_is_stream(relay) &&
-	       comet_event_stream_last_id(relay->events) != NULL;
+	return comet_proxy_request_is_stream(proxy) &&
+	       comet_event_stream_last_id(proxy->events) != NULL;
 }
 
 /* Returns the time of the endpoint's last activity for the silence timeout. The endpoint is not
  * silent while reading is paused for a slow caller, nor while received data has not been read yet:
  * after this process had been stopped, healthy endpoints with unread data counted as silent. */
 static uint64_t
-last_activity_us(const struct comet_proxy_request *relay, uint64_t now_us)
+last_activity_us(const struct comet_proxy_request *proxy, uint64_t now_us)
 {
-	if (relay->upstream_paused || comet_exchange_has_pending_events(relay->exchange))
+	if (proxy->upstream_paused || comet_exchange_has_pending_events(proxy->exchange))
 		return now_us;
-	return MAX(relay->sent_us, relay->last_us);
+	return MAX(proxy->sent_us, proxy->last_byte_us);
 }
 
 static void
 on_silence_timeout(void *ctx)
 {
-	struct comet_proxy_request *relay = ctx;
+	struct comet_proxy_request *proxy = ctx;
 	uint64_t now_us = comet_timers_now_us();
-	uint64_t last_us = last_activity_us(relay, now_us);
+	uint64_t last_us = last_activity_us(proxy, now_us);
 
-	relay->silence_timer = NULL;
-	if (now_us - last_us < relay->silence_timeout_us)
+	proxy->silence_timer = NULL;
+	if (now_us - last_us < proxy->silence_timeout_us)
 	{
-		relay->silence_timer = comet_timers_add(relay->gateway->timers, relay,
-			relay->silence_timeout_us - (now_us - last_us), on_silence_timeout, relay);
+		proxy->silence_timer = comet_timers_add(proxy->gateway->timers, proxy,
+			proxy->silence_timeout_us - (now_us - last_us), on_silence_timeout, proxy);
 		return;
 	}
-	struct comet_instance *instance = comet_proxy_request_instance(relay);
+	struct comet_instance *instance = comet_proxy_request_instance(proxy);
 	bool ejected =
 		instance != NULL && comet_instance_eject_if_silent(instance, last_us, now_us);
 	comet_log(COMET_LOG_NOTICE,
 		"event=silent request=%s endpoint=%s silent_ms=%" G_GUINT64_FORMAT
 		" ejected=%d events=%u body_bytes=%" G_GUINT64_FORMAT,
-		relay->id, relay->instance_id, comet_proxy_request_elapsed_ms(last_us, now_us),
-		ejected, comet_proxy_request_events(relay), relay->attempt_body_bytes);
-	if (!comet_route_is_retryable(relay->route) || !can_be_continued(relay) ||
-		!comet_proxy_request_may_retry(relay))
+		proxy->id, proxy->instance_id, comet_proxy_request_elapsed_ms(last_us, now_us),
+		ejected, comet_proxy_request_events(proxy), proxy->attempt_body_bytes);
+	if (!comet_route_is_retryable(proxy->route) || !can_be_continued(proxy) ||
+		!comet_proxy_request_may_retry(proxy))
 		return; /* keep waiting for this endpoint */
-	relay->may_have_run = true;
-	comet_proxy_request_end_attempt(relay, COMET_DISPATCH_SILENT);
-	relay->resuming = relay->response_started;
-	comet_proxy_request_retry(relay, "silent");
+	proxy->may_have_run = true;
+	comet_proxy_request_end_attempt(proxy, COMET_DISPATCH_SILENT);
+	proxy->resuming = proxy->response_started;
+	comet_proxy_request_retry(proxy, "silent");
 }
 
 static void
 start_silence_timer(
-	struct comet_proxy_request *relay, const struct comet_instance *instance, uint64_t now_us)
+	struct comet_proxy_request *proxy, const struct comet_instance *instance, uint64_t now_us)
 {
 	uint64_t first_us = 0;
 	uint64_t total_us = 0;
 
-	comet_instance_estimate(instance, &relay->item.job, now_us, &first_us, &total_us);
-	relay->silence_timeout_us = MAX(SILENCE_FACTOR * first_us, SILENCE_MIN_US);
-	relay->silence_timer = comet_timers_add(relay->gateway->timers, relay,
-		relay->silence_timeout_us, on_silence_timeout, relay);
+	comet_instance_estimate(instance, &proxy->item.size, now_us, &first_us, &total_us);
+	proxy->silence_timeout_us = MAX(SILENCE_FACTOR * first_us, SILENCE_MIN_US);
+	proxy->silence_timer = comet_timers_add(proxy->gateway->timers, proxy,
+		proxy->silence_timeout_us, on_silence_timeout, proxy);
 }
 
 /* A process that has ended does not answer. Probing breaks the connection within two seconds;
@@ -157,67 +158,67 @@
 {
 	for (GList *at = gateway->active_attempts.head; at != NULL; at = at->next)
 	{
-		const struct comet_proxy_request *relay = at->data;
-		if (relay->process_start_ms == process_start_ms ||
-			strcmp(relay->instance_id, id) != 0)
+		const struct comet_proxy_request *proxy = at->data;
+		if (proxy->process_start_ms == process_start_ms ||
+			strcmp(proxy->instance_id, id) != 0)
 			continue;
 		comet_log(COMET_LOG_INFO,
-			"event=probed request=%s endpoint=%s born=%" G_GUINT64_FORMAT, relay->id,
-			id, relay->process_start_ms);
-		comet_exchange_probe(relay->exchange);
+			"event=probed request=%s endpoint=%s born=%" G_GUINT64_FORMAT, proxy->id,
+			id, proxy->process_start_ms);
+		comet_exchange_probe(proxy->exchange);
 	}
 }
 
 void
 comet_proxy_request_attempt_failed(
-	struct comet_proxy_request *relay, enum comet_dispatch_result result)
+	struct comet_proxy_request *proxy, enum comet_dispatch_result result)
 {
-	relay->may_have_run = true;
+	proxy->may_have_run = true;
 	comet_log(COMET_LOG_NOTICE,
 		"event=attempt_failed request=%s endpoint=%s result=%s status=%u events=%u "
 		"body_bytes=%" G_GUINT64_FORMAT,
-		relay->id, relay->instance_id, comet_dispatch_result_name(result),
-		relay->head != NULL ? relay->head->status : 0, comet_proxy_request_events(relay),
-		relay->attempt_body_bytes);
-	comet_proxy_request_end_attempt(relay, result);
-	if (!can_be_continued(relay))
+		proxy->id, proxy->instance_id, comet_dispatch_result_name(result),
+		proxy->head != NULL ? proxy->head->status : 0, comet_proxy_request_events(proxy),
+		proxy->attempt_body_bytes);
+	comet_proxy_request_end_attempt(proxy, result);
+	if (!can_be_continued(proxy))
 	{
-		comet_proxy_request_abort(relay, "endpoint_broke");
+		comet_proxy_request_abort(proxy, "endpoint_broke");
 		return;
 	}
-	if (!comet_proxy_request_may_retry(relay))
+	if (!comet_proxy_request_may_retry(proxy))
 	{
-		comet_proxy_request_fail(relay, 502, "endpoint_broke");
+		comet_proxy_request_fail(proxy, 502, "endpoint_broke");
 		return;
 	}
-	relay->resuming = relay->response_started;
-	comet_proxy_request_retry(relay, "endpoint_broke");
+	proxy->resuming = proxy->response_started;
+	comet_proxy_request_retry(proxy, "endpoint_broke");
 }
 
 void
-comet_proxy_request_attempt_refused(struct comet_proxy_request *relay)
+comet_proxy_request_attempt_refused(struct comet_proxy_request *proxy)
 {
-	bool wrong_instance = relay->head->status == 421;
-	const char *retry_after = comet_http_head_get(relay->head, "Retry-After");
+	bool wrong_instance = proxy->head->status == 421;
+	const char *retry_after = comet_http_head_get(proxy->head, "Retry-After");
 	uint32_t retry_after_ms = 0;
 
 	if (retry_after != NULL && !comet_header_parse_seconds(retry_after, &retry_after_ms))
 		comet_log(COMET_LOG_NOTICE,
-			"event=header_ignored request=%s endpoint=%s header=Retry-After", relay->id,
-			relay->instance_id);
+			"event=header_ignored request=%s endpoint=%s header=Retry-After", proxy->id,
+			proxy->instance_id);
 	comet_log(COMET_LOG_INFO,
 		"event=endpoint_refused request=%s endpoint=%s status=%u "
 		"body_bytes=%" G_GUINT64_FORMAT,
-		relay->id, relay->instance_id, relay->head->status, relay->attempt_body_bytes);
+		proxy->id, proxy->instance_id, proxy->head->status, proxy->attempt_body_bytes);
 	comet_proxy_request_end_attempt(
-		relay, wrong_instance ? COMET_DISPATCH_WRONG_INSTANCE : COMET_DISPATCH_REFUSED);
-	if (comet_proxy_request_may_retry(relay))
+		proxy, wrong_instance ? COMET_DISPATCH_WRONG_INSTANCE : COMET_DISPATCH_REFUSED);
+	if (comet_proxy_request_may_retry(proxy))
 		comet_proxy_request_retry(
-			relay, wrong_instance ? "wrong_instance" : "endpoint_full");
-	else if (relay->response_started)
-		comet_proxy_request_abort(relay, "endpoint_full");
+			proxy, wrong_instance ? "wrong_instance" : "endpoint_full");
+	else if (proxy->response_started)
+		comet_proxy_request_abort(proxy, "endpoint_full");
 	else
-		comet_proxy_request_refuse(relay, "endpoint_full", MAX(retry_after_ms, 200));
+		comet_proxy_request_refuse(proxy, "endpoint_full", MAX(retry_after_ms, 200));
 }
 
 /* Sends the request to the endpoint that placement has selected. */
@@ -225,21 +226,21 @@
 on_dispatch(void *ctx, struct comet_placement_item *item, struct comet_instance *instance)
 {
 	struct comet_gateway *gateway = ctx;
-	struct comet_proxy_request *relay = item->owner;
+	struct comet_proxy_request *proxy = item->user_data;
 	const struct comet_placement_decision *reason =
 		comet_placement_decision(gateway->placement);
 	uint64_t now_us = comet_timers_now_us();
-	GString *bytes = write_request(relay, instance, now_us);
-	char keeper[COMET_IPV4_TEXT_BYTES];
+	GString *bytes = write_request(proxy, instance, now_us);
+	char owner_vm[COMET_IPV4_TEXT_BYTES];
 	struct comet_exchange_request attempt = {
 		.instance = instance->id,
 		.address = instance->address,
 		.bytes = bytes->str,
 		.length = bytes->len,
 		.id_header = gateway->names->request_id,
-		.id = relay->id,
-		.head_only = strcmp(relay->request->head->method, "HEAD") == 0,
-		.new_connection = relay->retry_same_endpoint,
+		.id = proxy->id,
+		.head_only = strcmp(proxy->request->head->method, "HEAD") == 0,
+		.new_connection = proxy->retry_same_endpoint,
 		.counted = &gateway->bytes[COMET_GATEWAY_USE_ENDPOINTS],
 	};
 
@@ -248,37 +249,37 @@
 		"waited_ms=%" G_GUINT64_FORMAT " expect_first_ms=%" G_GUINT64_FORMAT
 		" view_age_ms=%" G_GUINT64_FORMAT
 		" relative_latency=%.2f attempt=%u after_events=%u owner=%s",
-		relay->id, instance->id, reason->load, reason->slots, reason->candidates,
+		proxy->id, instance->id, reason->load, reason->slots, reason->candidates,
 		reason->with_room, reason->waited_us / 1000, reason->first_us / 1000,
-		reason->view_age_us / 1000, instance->pace, relay->attempts + 1,
-		comet_proxy_request_events(relay),
-		item->keeper != 0 ? comet_datagram_socket_format_address(item->keeper, keeper)
-				  : "-");
-	if (relay->attempts == 0)
+		reason->gossip_age_us / 1000, instance->relative_latency, proxy->attempts + 1,
+		comet_proxy_request_events(proxy),
+		item->owner_vm != 0 ? comet_datagram_socket_format_address(item->owner_vm, owner_vm)
+				    : "-");
+	if (proxy->attempts == 0)
 		comet_latency_histogram_add(
-			&gateway->times[relay->route->kind].waited, now_us - relay->arrived_us);
-	if (relay->attempts == 0)
-		comet_retry_budget_first(gateway->retries, relay->service, now_us);
-	if (relay->resuming)
+			&gateway->times[proxy->route->kind].waited, now_us - proxy->arrived_us);
+	if (proxy->attempts == 0)
+		comet_retry_budget_record_first_attempt(gateway->retries, proxy->service, now_us);
+	if (proxy->resuming)
 		gateway->counts.resumed++;
 	gateway->counts.dispatched++;
-	relay->attempts++;
-	relay->not_run = false;
-	relay->upstream_paused = false;
-	relay->sent_us = now_us;
-	relay->first_byte_us = 0;
-	relay->last_us = 0;
-	relay->attempt_body_bytes = 0;
-	relay->prior_events = comet_proxy_request_events(relay);
-	relay->instance_id = talloc_strdup(relay, instance->id);
-	relay->process_start_ms = instance->process_start_ms;
-	relay->incarnation_key = instance->key;
-	g_queue_push_tail(&gateway->active_attempts, relay);
-	relay->attempt_link = g_queue_peek_tail_link(&gateway->active_attempts);
-	comet_instance_started(instance, &item->job);
-	relay->exchange = comet_upstream_send(
-		gateway->upstream, relay, &attempt, &comet_proxy_request_response_events, relay);
-	start_silence_timer(relay, instance, now_us);
+	proxy->attempts++;
+	proxy->not_executed = false;
+	proxy->upstream_paused = false;
+	proxy->sent_us = now_us;
+	proxy->first_byte_us = 0;
+	proxy->last_byte_us = 0;
+	proxy->attempt_body_bytes = 0;
+	proxy->prior_events = comet_proxy_request_events(proxy);
+	proxy->instance_id = talloc_strdup(proxy, instance->id);
+	proxy->process_start_ms = instance->process_start_ms;
+	proxy->incarnation_key = instance->key;
+	g_queue_push_tail(&gateway->active_attempts, proxy);
+	proxy->attempt_link = g_queue_peek_tail_link(&gateway->active_attempts);
+	comet_instance_dispatch_started(instance, &item->size);
+	proxy->exchange = comet_upstream_send(
+		gateway->upstream, proxy, &attempt, &comet_proxy_request_response_events, proxy);
+	start_silence_timer(proxy, instance, now_us);
 	g_string_free(bytes, TRUE);
 }
 
@@ -286,21 +287,21 @@
 on_refuse(void *ctx, struct comet_placement_item *item, uint32_t retry_after_ms)
 {
 	const struct comet_gateway *gateway = ctx;
-	struct comet_proxy_request *relay = item->owner;
+	struct comet_proxy_request *proxy = item->user_data;
 	bool evacuated = comet_placement_is_evacuated(gateway->placement, item);
 
-	if (relay->response_started)
-		comet_proxy_request_abort(relay, "no_endpoint");
+	if (proxy->response_started)
+		comet_proxy_request_abort(proxy, "no_endpoint");
 	else
 		comet_proxy_request_refuse(
-			relay, evacuated ? "evacuated" : "no_room", retry_after_ms);
+			proxy, evacuated ? "evacuated" : "no_room", retry_after_ms);
 }
 
 const struct comet_placement_ops comet_gateway_placement_ops = {
 	.dispatch = on_dispatch,
 	.refuse = on_refuse,
-	.keeper = comet_gateway_find_shard_owner,
-	.ask = comet_gateway_request_slot,
-	.forget = comet_gateway_cancel_slot_request,
+	.find_owner = comet_gateway_find_shard_owner,
+	.request_slot = comet_gateway_request_slot,
+	.cancel_slot_request = comet_gateway_cancel_slot_request,
 	.grant = comet_gateway_grant_slot,
 };
--- a/libcometspindle/adapters/gateway/proxy_request.c
+++ b/libcometspindle/adapters/gateway/proxy_request.c
@@ -10,58 +10,58 @@
 
 /* Releases the slot at its owner, and reports the service time of a complete response. */
 static void
-release_slot(struct comet_proxy_request *relay, enum comet_dispatch_result result, uint32_t events)
+release_slot(struct comet_proxy_request *proxy, enum comet_dispatch_result result, uint32_t events)
 {
-	bool whole = result == COMET_DISPATCH_SERVED && relay->first_byte_us != 0 &&
-		     comet_proxy_request_timing_is_valid(relay);
-	bool stream = comet_proxy_request_is_stream(relay);
-	uint64_t begun_us = stream ? relay->first_byte_us : relay->sent_us;
+	bool whole = result == COMET_DISPATCH_SERVED && proxy->first_byte_us != 0 &&
+		     comet_proxy_request_timing_is_valid(proxy);
+	bool stream = comet_proxy_request_is_stream(proxy);
+	uint64_t begun_us = stream ? proxy->first_byte_us : proxy->sent_us;
 	const struct comet_grants_completion end = {
 		.result = result,
 		.stream = stream,
 		.events = whole ? events : 0,
-		.taken_us = whole ? relay->last_us - begun_us : 0,
+		.taken_us = whole ? proxy->last_byte_us - begun_us : 0,
 	};
 
-	if (relay->item.keeper == 0)
+	if (proxy->item.owner_vm == 0)
 		return;
 	comet_grants_release(
-		relay->gateway->grants, relay->item.keeper, relay->incarnation_key, &end);
-	relay->item.keeper = 0;
+		proxy->gateway->grants, proxy->item.owner_vm, proxy->incarnation_key, &end);
+	proxy->item.owner_vm = 0;
 }
 
 /* Discards the output of this attempt that was not forwarded. Otherwise the bytes of the next
  * attempt would be appended to an incomplete event, and the caller would receive both as one event.
  */
 static void
-discard_unsent_output(struct comet_proxy_request *relay)
+discard_unsent_output(struct comet_proxy_request *proxy)
 {
-	relay->unfinished_bytes = 0;
-	if (relay->events != NULL)
-		relay->unfinished_bytes = comet_event_stream_restart(relay->events);
-	g_byte_array_set_size(relay->buffered_body, 0);
+	proxy->unfinished_bytes = 0;
+	if (proxy->events != NULL)
+		proxy->unfinished_bytes = comet_event_stream_restart(proxy->events);
+	g_byte_array_set_size(proxy->buffered_body, 0);
 }
 
 void
 comet_proxy_request_end_attempt(
-	struct comet_proxy_request *relay, enum comet_dispatch_result result)
+	struct comet_proxy_request *proxy, enum comet_dispatch_result result)
 {
-	struct comet_gateway *gateway = relay->gateway;
-	struct comet_instance *instance = comet_proxy_request_instance(relay);
+	struct comet_gateway *gateway = proxy->gateway;
+	struct comet_instance *instance = comet_proxy_request_instance(proxy);
 	uint64_t now_us = comet_timers_now_us();
-	uint32_t events = comet_proxy_request_events(relay) - relay->prior_events;
+	uint32_t events = comet_proxy_request_events(proxy) - proxy->prior_events;
 
-	comet_timer_cancel(&relay->silence_timer);
-	comet_gateway_attempt_ending(relay, result);
+	comet_timer_cancel(&proxy->silence_timer);
+	comet_gateway_attempt_ending(proxy, result);
 	if (instance != NULL)
 	{
-		uint64_t taken_us = comet_proxy_request_is_stream(relay)
-					    ? relay->last_us - relay->first_byte_us
-					    : now_us - relay->sent_us;
-		if (!comet_proxy_request_timing_is_valid(relay))
-			taken_us = COMET_INSTANCE_UNMEASURED;
-		if (comet_instance_ended(instance, &relay->item.job, relay->first_byte_us != 0,
-			    result, taken_us, events, now_us))
+		uint64_t taken_us = comet_proxy_request_is_stream(proxy)
+					    ? proxy->last_byte_us - proxy->first_byte_us
+					    : now_us - proxy->sent_us;
+		if (!comet_proxy_request_timing_is_valid(proxy))
+			taken_us = COMET_LATENCY_UNKNOWN;
+		if (comet_instance_dispatch_ended(instance, &proxy->item.size,
+			    proxy->first_byte_us != 0, result, taken_us, events, now_us))
 			comet_log(COMET_LOG_NOTICE,
 				"event=endpoint_%s endpoint=%s result=%s failures=%u "
 				"error_rate=%.2f",
@@ -70,62 +70,62 @@
 				instance->failures, instance->error_rate);
 		comet_placement_slot_released(gateway->placement, instance);
 	}
-	release_slot(relay, result, events);
-	discard_unsent_output(relay);
-	g_queue_delete_link(&gateway->active_attempts, relay->attempt_link);
-	relay->attempt_link = NULL;
-	TALLOC_FREE(relay->instance_id);
-	TALLOC_FREE(relay->exchange);
-	TALLOC_FREE(relay->head);
-	relay->first_byte_us = 0;
+	release_slot(proxy, result, events);
+	discard_unsent_output(proxy);
+	g_queue_delete_link(&gateway->active_attempts, proxy->attempt_link);
+	proxy->attempt_link = NULL;
+	TALLOC_FREE(proxy->instance_id);
+	TALLOC_FREE(proxy->exchange);
+	TALLOC_FREE(proxy->head);
+	proxy->first_byte_us = 0;
 }
 
 void
-comet_proxy_request_close(struct comet_proxy_request *relay)
+comet_proxy_request_close(struct comet_proxy_request *proxy)
 {
-	struct comet_gateway *gateway = relay->gateway;
+	struct comet_gateway *gateway = proxy->gateway;
 
-	comet_placement_cancel(gateway->placement, &relay->item);
-	comet_quota_requests_cancel(gateway->charges, relay);
-	talloc_free(relay);
+	comet_placement_cancel(gateway->placement, &proxy->item);
+	comet_quota_requests_cancel(gateway->quota_requests, proxy);
+	talloc_free(proxy);
 	comet_placement_run(gateway->placement, comet_timers_now_us());
 }
 
 void
-comet_proxy_request_count_end(const struct comet_proxy_request *relay, const char *reason)
+comet_proxy_request_count_end(const struct comet_proxy_request *proxy, const char *reason)
 {
 	char labels[128];
 
-	if (relay->route == NULL)
+	if (proxy->route == NULL)
 		g_snprintf(labels, sizeof labels, "end=\"%s\"", reason);
 	else
 		g_snprintf(labels, sizeof labels, "end=\"%s\",kind=\"%s\",rank=\"%u\"", reason,
-			comet_route_kind_name(relay->route->kind),
-			comet_placement_rank(&relay->item));
-	comet_counter_set_add(relay->gateway->ends, labels);
+			comet_route_kind_name(proxy->route->kind),
+			comet_placement_rank(&proxy->item));
+	comet_counter_set_add(proxy->gateway->ends, labels);
 }
 
 /* Answers with an error of the gateway, with these headers and text, and frees the request. */
 static void
-respond_error(struct comet_proxy_request *relay, unsigned int status, const char *reason,
+respond_error(struct comet_proxy_request *proxy, unsigned int status, const char *reason,
 	uint32_t retry_after_ms, const char *headers, const char *text)
 {
-	struct comet_http_server_request *request = relay->request;
+	struct comet_http_server_request *request = proxy->request;
 
 	comet_log(COMET_LOG_NOTICE,
 		"event=refused request=%s status=%u reason=%s retry_after_ms=%u "
 		"elapsed_ms=%" G_GUINT64_FORMAT " attempts=%u",
-		relay->id, status, reason, retry_after_ms,
-		comet_proxy_request_elapsed_ms(relay->arrived_us, comet_timers_now_us()),
-		relay->attempts);
-	comet_proxy_request_count_end(relay, reason);
+		proxy->id, status, reason, retry_after_ms,
+		comet_proxy_request_elapsed_ms(proxy->arrived_us, comet_timers_now_us()),
+		proxy->attempts);
+	comet_proxy_request_count_end(proxy, reason);
 	request->user = NULL;
-	comet_proxy_request_close(relay);
+	comet_proxy_request_close(proxy);
 	comet_http_server_respond(request, status, headers, text, strlen(text));
 }
 
 void
-comet_proxy_request_respond_error(struct comet_proxy_request *relay, unsigned int status,
+comet_proxy_request_respond_error(struct comet_proxy_request *proxy, unsigned int status,
 	const char *reason, uint32_t retry_after_ms)
 {
 	char headers[64] = "";
@@ -133,117 +133,117 @@
 	if (retry_after_ms > 0)
 		g_snprintf(headers, sizeof headers, "Retry-After: %u.%03u\r\n",
 			retry_after_ms / 1000, retry_after_ms % 1000);
-	respond_error(relay, status, reason, retry_after_ms, headers, "");
+	respond_error(proxy, status, reason, retry_after_ms, headers, "");
 }
 
 /* Refunds the team's quota for a request that was not run. */
 static void
-refund_quota(struct comet_proxy_request *relay)
+refund_quota(struct comet_proxy_request *proxy)
 {
-	struct comet_gateway *gateway = relay->gateway;
+	struct comet_gateway *gateway = proxy->gateway;
 
-	if (!relay->quota_charged)
+	if (!proxy->quota_charged)
 		return;
-	relay->quota_charged = false;
+	proxy->quota_charged = false;
 	comet_rate_limiter_refund(
-		gateway->rate_limiter, relay->team->id, relay->quota_amount, comet_timers_now_us());
-	if (relay->quota_owner_vm == 0)
+		gateway->rate_limiter, proxy->team->id, proxy->quota_amount, comet_timers_now_us());
+	if (proxy->quota_owner_vm == 0)
 		return;
-	const struct comet_quota_request charge = comet_proxy_request_charge_amount(relay);
-	comet_quota_requests_refund(gateway->charges, relay->quota_owner_vm, &charge);
+	const struct comet_quota_request quota_request = comet_proxy_request_charge_amount(proxy);
+	comet_quota_requests_refund(gateway->quota_requests, proxy->quota_owner_vm, &quota_request);
 }
 
 /* The status is 400 because callers do not retry it. 503 asks callers to retry later, and some
  * callers retry immediately after 502. */
 void
-comet_proxy_request_refuse_quarantined(struct comet_proxy_request *relay)
+comet_proxy_request_refuse_quarantined(struct comet_proxy_request *proxy)
 {
 	comet_log(COMET_LOG_INFO,
 		"event=quarantined_request_refused request=%s fingerprint=%016" G_GINT64_MODIFIER
 		"x",
-		relay->id, relay->fingerprint.digest);
-	relay->gateway->counts.refused_crashing++;
-	if (!relay->may_have_run)
-		refund_quota(relay);
-	respond_error(relay, 400, "crashes_endpoints", 0, "Content-Type: text/plain\r\n",
+		proxy->id, proxy->fingerprint.digest);
+	proxy->gateway->counts.refused_quarantined++;
+	if (!proxy->may_have_run)
+		refund_quota(proxy);
+	respond_error(proxy, 400, "crashes_endpoints", 0, "Content-Type: text/plain\r\n",
 		"Endpoints crashed when they ran this request. It is not sent to any more.\n");
 }
 
 void
 comet_proxy_request_refuse(
-	struct comet_proxy_request *relay, const char *reason, uint32_t retry_after_ms)
+	struct comet_proxy_request *proxy, const char *reason, uint32_t retry_after_ms)
 {
-	struct comet_gateway *gateway = relay->gateway;
+	struct comet_gateway *gateway = proxy->gateway;
 
-	if (comet_proxy_request_is_quarantined(relay))
+	if (comet_proxy_request_is_quarantined(proxy))
 	{
-		comet_proxy_request_refuse_quarantined(relay);
+		comet_proxy_request_refuse_quarantined(proxy);
 		return;
 	}
-	if (relay->may_have_run)
+	if (proxy->may_have_run)
 	{
 		gateway->counts.failed++;
-		comet_proxy_request_respond_error(relay, 502, reason, 0);
+		comet_proxy_request_respond_error(proxy, 502, reason, 0);
 		return;
 	}
 	gateway->counts.refused_early++;
-	refund_quota(relay);
-	comet_proxy_request_respond_error(relay, 503, reason, retry_after_ms);
+	refund_quota(proxy);
+	comet_proxy_request_respond_error(proxy, 503, reason, retry_after_ms);
 }
 
 void
-comet_proxy_request_abort(struct comet_proxy_request *relay, const char *reason)
+comet_proxy_request_abort(struct comet_proxy_request *proxy, const char *reason)
 {
-	struct comet_http_server_request *request = relay->request;
+	struct comet_http_server_request *request = proxy->request;
 
-	relay->gateway->counts.cut++;
+	proxy->gateway->counts.aborted++;
 	comet_log(COMET_LOG_NOTICE,
 		"event=cut request=%s reason=%s elapsed_ms=%" G_GUINT64_FORMAT
 		" events=%u attempts=%u unsent_bytes=%zu",
-		relay->id, reason,
-		comet_proxy_request_elapsed_ms(relay->arrived_us, comet_timers_now_us()),
-		comet_proxy_request_events(relay), relay->attempts,
+		proxy->id, reason,
+		comet_proxy_request_elapsed_ms(proxy->arrived_us, comet_timers_now_us()),
+		comet_proxy_request_events(proxy), proxy->attempts,
 		comet_http_server_queued_bytes(request));
-	comet_proxy_request_count_end(relay, reason);
+	comet_proxy_request_count_end(proxy, reason);
 	request->user = NULL;
-	comet_proxy_request_close(relay);
+	comet_proxy_request_close(proxy);
 	comet_http_server_abort_response(request);
 }
 
 void
-comet_proxy_request_fail(struct comet_proxy_request *relay, unsigned int status, const char *reason)
+comet_proxy_request_fail(struct comet_proxy_request *proxy, unsigned int status, const char *reason)
 {
-	if (relay->response_started)
+	if (proxy->response_started)
 	{
-		comet_proxy_request_abort(relay, reason);
+		comet_proxy_request_abort(proxy, reason);
 		return;
 	}
-	if (!relay->may_have_run || comet_proxy_request_is_quarantined(relay))
+	if (!proxy->may_have_run || comet_proxy_request_is_quarantined(proxy))
 	{
-		comet_proxy_request_refuse(relay, reason,
-			(uint32_t)(comet_placement_wait_us(relay->gateway->placement, &relay->item,
+		comet_proxy_request_refuse(proxy, reason,
+			(uint32_t)(comet_placement_wait_us(proxy->gateway->placement, &proxy->item,
 					   comet_timers_now_us()) /
 				   1000));
 		return;
 	}
-	relay->gateway->counts.failed++;
-	comet_proxy_request_respond_error(relay, status, reason, 0);
+	proxy->gateway->counts.failed++;
+	comet_proxy_request_respond_error(proxy, status, reason, 0);
 }
 
 void
 comet_proxy_request_refuse_all_quarantined(struct comet_gateway *gateway)
 {
-	GList *at = gateway->newly_quarantined ? gateway->relays.head : NULL;
+	GList *at = gateway->newly_quarantined ? gateway->open_requests.head : NULL;
 
 	gateway->newly_quarantined = false;
 	while (at != NULL)
 	{
-		struct comet_proxy_request *relay = at->data;
+		struct comet_proxy_request *proxy = at->data;
 		at = at->next;
-		if (relay->attempt_link != NULL || !comet_proxy_request_is_quarantined(relay))
+		if (proxy->attempt_link != NULL || !comet_proxy_request_is_quarantined(proxy))
 			continue;
-		comet_proxy_request_fail(relay, 502, "crashes_endpoints");
-		at = gateway->relays.head; /* the call may have ended other requests too */
+		comet_proxy_request_fail(proxy, 502, "crashes_endpoints");
+		at = gateway->open_requests.head; /* the call may have ended other requests too */
 	}
 }
 
@@ -251,34 +251,34 @@
 on_caller_disconnected(void *ctx, struct comet_http_server_request *request)
 {
 	struct comet_gateway *gateway = ctx;
-	struct comet_proxy_request *relay = request->user;
+	struct comet_proxy_request *proxy = request->user;
 
-	if (relay == NULL)
+	if (proxy == NULL)
 		return;
-	gateway->counts.left++;
+	gateway->counts.callers_disconnected++;
 	comet_log(COMET_LOG_INFO,
 		"event=caller_left request=%s endpoint=%s elapsed_ms=%" G_GUINT64_FORMAT
 		" started=%d",
-		relay->id, relay->instance_id != NULL ? relay->instance_id : "-",
-		comet_proxy_request_elapsed_ms(relay->arrived_us, comet_timers_now_us()),
-		relay->response_started);
-	if (relay->instance_id != NULL)
-		comet_proxy_request_end_attempt(relay, COMET_DISPATCH_CANCELLED);
-	comet_proxy_request_count_end(relay, "caller_left");
-	comet_proxy_request_close(relay);
+		proxy->id, proxy->instance_id != NULL ? proxy->instance_id : "-",
+		comet_proxy_request_elapsed_ms(proxy->arrived_us, comet_timers_now_us()),
+		proxy->response_started);
+	if (proxy->instance_id != NULL)
+		comet_proxy_request_end_attempt(proxy, COMET_DISPATCH_CANCELLED);
+	comet_proxy_request_count_end(proxy, "caller_left");
+	comet_proxy_request_close(proxy);
 }
 
 static void
 on_caller_drained(void *ctx, struct comet_http_server_request *request)
 {
-	struct comet_proxy_request *relay = request->user;
+	struct comet_proxy_request *proxy = request->user;
 
 	(void)ctx;
-	if (relay == NULL || !relay->upstream_paused || relay->exchange == NULL)
+	if (proxy == NULL || !proxy->upstream_paused || proxy->exchange == NULL)
 		return;
-	relay->upstream_paused = false;
-	relay->last_us = comet_timers_now_us(); /* the pause does not count as silence */
-	comet_exchange_pause(relay->exchange, false);
+	proxy->upstream_paused = false;
+	proxy->last_byte_us = comet_timers_now_us(); /* the pause does not count as silence */
+	comet_exchange_pause(proxy->exchange, false);
 }
 
 const struct comet_http_server_events comet_gateway_caller_events = {
--- a/libcometspindle/adapters/gateway/proxy_request.h
+++ b/libcometspindle/adapters/gateway/proxy_request.h
@@ -30,19 +30,19 @@
 	uint64_t process_start_ms;    /* process start of that endpoint */
 	uint32_t incarnation_key;     /* key of that incarnation */
 	GList *attempt_link;          /* link in gateway->active_attempts, or NULL */
-	GList *open_link;             /* link in gateway->relays */
+	GList *open_link;             /* link in gateway->open_requests */
 	GByteArray *buffered_body;    /* body of a plain response until it is forwarded */
 	struct comet_http_head *head; /* copy of the response head, or NULL */
 	uint64_t quota_amount;        /* charged to the team, in the unit of its limit */
 	/** Called once the request has been charged. */
-	void (*on_admitted)(struct comet_proxy_request *relay, uint64_t now_us);
+	void (*on_admitted)(struct comet_proxy_request *proxy, uint64_t now_us);
 	uint32_t owners_tried;   /* owners that were sent a quota request for it */
 	uint32_t quota_owner_vm; /* VM that charged the request; 0 if this VM did */
 	uint64_t arrived_us;
 	uint64_t deadline_us; /* the caller stops waiting */
 	uint64_t sent_us;
 	uint64_t first_byte_us;     /* first body byte of this attempt; 0 if none yet */
-	uint64_t last_us;           /* last bytes of this attempt's response; 0 if none yet */
+	uint64_t last_byte_us;      /* last bytes of this attempt's response; 0 if none yet */
 	uint64_t response_start_us; /* first body byte of any attempt; 0 if none yet */
 	uint64_t max_gap_us;        /* longest time between two parts of the response */
 	uint64_t silence_timeout_us;
@@ -54,7 +54,7 @@
 	char *content_type;          /* content type that was sent to the caller, or NULL */
 	bool quota_charged;          /* has to be refunded if the request is not run */
 	bool may_have_run;
-	bool not_run;             /* the endpoint's response says that it did not run the request */
+	bool not_executed;        /* the endpoint's response says that it did not run the request */
 	bool response_started;    /* the response head was sent to the caller */
 	bool resuming;            /* this attempt resumes a stream that was interrupted */
 	bool upstream_paused;     /* reading from the endpoint is paused for a slow caller */
@@ -62,21 +62,21 @@
 };
 
 bool
-comet_proxy_request_is_stream(const struct comet_proxy_request *relay);
+comet_proxy_request_is_stream(const struct comet_proxy_request *proxy);
 
 /** Returns the endpoint of the current attempt. Returns NULL if there is none, or if the endpoint's
  * process has restarted since. */
 struct comet_instance *
-comet_proxy_request_instance(const struct comet_proxy_request *relay);
+comet_proxy_request_instance(const struct comet_proxy_request *proxy);
 
 /** Returns false if this process was paused since the attempt was sent. Times measured across such
  * a pause must not be used: a VM that had been suspended classified its endpoints as slow. */
 bool
-comet_proxy_request_timing_is_valid(const struct comet_proxy_request *relay);
+comet_proxy_request_timing_is_valid(const struct comet_proxy_request *proxy);
 
 /** Returns the number of events that were forwarded to the caller. */
 uint32_t
-comet_proxy_request_events(const struct comet_proxy_request *relay);
+comet_proxy_request_events(const struct comet_proxy_request *proxy);
 
 /** Returns the milliseconds between two times in microseconds. */
 uint64_t
@@ -84,12 +84,12 @@
 
 /** Counts the end of a request under reason, which is a stable code. */
 void
-comet_proxy_request_count_end(const struct comet_proxy_request *relay, const char *reason);
+comet_proxy_request_count_end(const struct comet_proxy_request *proxy, const char *reason);
 
 /** Ends the current attempt, records its result for the endpoint and releases the slot. */
 void
 comet_proxy_request_end_attempt(
-	struct comet_proxy_request *relay, enum comet_dispatch_result result);
+	struct comet_proxy_request *proxy, enum comet_dispatch_result result);
 
 /** Probes the connections of attempts that were sent to an earlier process of an endpoint. */
 void
@@ -102,13 +102,13 @@
 
 /** Returns the team, rank and amount to charge. Must not be called on an open route. */
 struct comet_quota_request
-comet_proxy_request_charge_amount(const struct comet_proxy_request *relay);
+comet_proxy_request_charge_amount(const struct comet_proxy_request *proxy);
 
 /** Charges the request to its team, on this VM or on the owner of the team's quota, and then calls
  * on_admitted or refuses the request (gateway_quota.c). */
 void
-comet_proxy_request_charge(struct comet_proxy_request *relay,
-	void (*on_admitted)(struct comet_proxy_request *relay, uint64_t now_us));
+comet_proxy_request_charge(struct comet_proxy_request *proxy,
+	void (*on_admitted)(struct comet_proxy_request *proxy, uint64_t now_us));
 
 /** Refuses the waiting requests that have been quarantined since the last call. */
 void
@@ -117,53 +117,53 @@
 /** Answers with an error of the gateway and frees the request. No Retry-After header is sent if
  * retry_after_ms is 0. */
 void
-comet_proxy_request_respond_error(struct comet_proxy_request *relay, unsigned int status,
+comet_proxy_request_respond_error(struct comet_proxy_request *proxy, unsigned int status,
 	const char *reason, uint32_t retry_after_ms);
 
 /** Frees a request whose caller has been answered or has disconnected. */
 void
-comet_proxy_request_close(struct comet_proxy_request *relay);
+comet_proxy_request_close(struct comet_proxy_request *proxy);
 
 /** Returns whether the request is known to crash endpoints and must not be sent to any. */
 bool
-comet_proxy_request_is_quarantined(const struct comet_proxy_request *relay);
+comet_proxy_request_is_quarantined(const struct comet_proxy_request *proxy);
 
 /** Refuses a request that crashes endpoints, with a status that callers do not retry. Frees it. */
 void
-comet_proxy_request_refuse_quarantined(struct comet_proxy_request *relay);
+comet_proxy_request_refuse_quarantined(struct comet_proxy_request *proxy);
 
 /** Answers 503 if the request was not run, or 502 if it may have been run. Frees it. */
 void
 comet_proxy_request_refuse(
-	struct comet_proxy_request *relay, const char *reason, uint32_t retry_after_ms);
+	struct comet_proxy_request *proxy, const char *reason, uint32_t retry_after_ms);
 
 /** Aborts a response that cannot be completed, so that the caller sees it as incomplete. Frees the
  * request. */
 void
-comet_proxy_request_abort(struct comet_proxy_request *relay, const char *reason);
+comet_proxy_request_abort(struct comet_proxy_request *proxy, const char *reason);
 
 /** Ends a request that has failed: aborts a response that was started, refuses a request that was
  * not run, and answers any other with status. Frees it. */
 void
 comet_proxy_request_fail(
-	struct comet_proxy_request *relay, unsigned int status, const char *reason);
+	struct comet_proxy_request *proxy, unsigned int status, const char *reason);
 
 /** Returns whether the request may be sent again, and if so takes a token of the retry budget. */
 bool
-comet_proxy_request_may_retry(struct comet_proxy_request *relay);
+comet_proxy_request_may_retry(struct comet_proxy_request *proxy);
 
 /** Queues the request for a further attempt. */
 void
-comet_proxy_request_retry(struct comet_proxy_request *relay, const char *reason);
+comet_proxy_request_retry(struct comet_proxy_request *proxy, const char *reason);
 
 /** Handles a failed attempt that may have run the request: retries, resumes or gives up. */
 void
 comet_proxy_request_attempt_failed(
-	struct comet_proxy_request *relay, enum comet_dispatch_result result);
+	struct comet_proxy_request *proxy, enum comet_dispatch_result result);
 
 /** Handles a response that says that the endpoint did not run the request. */
 void
-comet_proxy_request_attempt_refused(struct comet_proxy_request *relay);
+comet_proxy_request_attempt_refused(struct comet_proxy_request *proxy);
 
 /** Handlers of an endpoint's response (gateway_answer.c). */
 extern const struct comet_exchange_events comet_proxy_request_response_events;
--- a/libcometspindle/adapters/gateway/proxy_request_state.c
+++ b/libcometspindle/adapters/gateway/proxy_request_state.c
@@ -5,32 +5,32 @@
 #include <libcometspindle/adapters/gateway/proxy_request.h>
 
 bool
-comet_proxy_request_is_stream(const struct comet_proxy_request *relay)
+comet_proxy_request_is_stream(const struct comet_proxy_request *proxy)
 {
-	return relay->route->kind == COMET_ROUTE_STREAM;
+	return proxy->route->kind == COMET_ROUTE_STREAM;
 }
 
 struct comet_instance *
-comet_proxy_request_instance(const struct comet_proxy_request *relay)
+comet_proxy_request_instance(const struct comet_proxy_request *proxy)
 {
-	if (relay->instance_id == NULL)
+	if (proxy->instance_id == NULL)
 		return NULL;
 	struct comet_instance *instance =
-		comet_instances_find(relay->gateway->instances, relay->instance_id);
-	return instance != NULL && instance->process_start_ms == relay->process_start_ms ? instance
+		comet_instances_find(proxy->gateway->instances, proxy->instance_id);
+	return instance != NULL && instance->process_start_ms == proxy->process_start_ms ? instance
 											 : NULL;
 }
 
 bool
-comet_proxy_request_timing_is_valid(const struct comet_proxy_request *relay)
+comet_proxy_request_timing_is_valid(const struct comet_proxy_request *proxy)
 {
-	return relay->gateway->pause_detected_us < relay->sent_us;
+	return proxy->gateway->pause_detected_us < proxy->sent_us;
 }
 
 uint32_t
-comet_proxy_request_events(const struct comet_proxy_request *relay)
+comet_proxy_request_events(const struct comet_proxy_request *proxy)
 {
-	return relay->events != NULL ? comet_event_stream_count(relay->events) : 0;
+	return proxy->events != NULL ? comet_event_stream_count(proxy->events) : 0;
 }
 
 uint64_t
@@ -40,15 +40,15 @@
 }
 
 bool
-comet_proxy_request_is_quarantined(const struct comet_proxy_request *relay)
+comet_proxy_request_is_quarantined(const struct comet_proxy_request *proxy)
 {
-	return relay->route != NULL && comet_crash_tracker_is_quarantined(
-					       relay->gateway->crash_tracker, &relay->fingerprint);
+	return proxy->route != NULL && comet_crash_tracker_is_quarantined(
+					       proxy->gateway->crash_tracker, &proxy->fingerprint);
 }
 
 struct comet_quota_request
-comet_proxy_request_charge_amount(const struct comet_proxy_request *relay)
+comet_proxy_request_charge_amount(const struct comet_proxy_request *proxy)
 {
 	return (struct comet_quota_request){
-		relay->team->id, relay->route->priority, relay->quota_amount};
+		proxy->team->id, proxy->route->priority, proxy->quota_amount};
 }
--- a/libcometspindle/adapters/peers/datagram_socket.c
+++ b/libcometspindle/adapters/peers/datagram_socket.c
@@ -31,7 +31,7 @@
 static void
 on_ready(struct tevent_context *ev, struct tevent_fd *event, uint16_t flags, void *data)
 {
-	struct comet_datagram_socket *link = data;
+	struct comet_datagram_socket *datagram_socket = data;
 	uint8_t buffer[COMET_DATAGRAM_BYTES_MAX + 1];
 
 	(void)ev;
@@ -39,19 +39,19 @@
 	(void)flags;
 	for (int i = 0; i < DATAGRAMS_PER_TURN; i++)
 	{
-		ssize_t length = recv(link->fd, buffer, sizeof buffer, 0);
+		ssize_t length = recv(datagram_socket->fd, buffer, sizeof buffer, 0);
 		if (length < 0)
 			return; /* none left, or an error of an earlier send */
-		link->bytes.received += (uint64_t)length;
-		link->handler(link->ctx, buffer, (size_t)length);
+		datagram_socket->bytes.received += (uint64_t)length;
+		datagram_socket->handler(datagram_socket->ctx, buffer, (size_t)length);
 	}
 }
 
 static int
-link_destroy(struct comet_datagram_socket *link)
+link_destroy(struct comet_datagram_socket *datagram_socket)
 {
-	talloc_free(link->event);
-	close(link->fd);
+	talloc_free(datagram_socket->event);
+	close(datagram_socket->fd);
 	return 0;
 }
 
@@ -76,44 +76,47 @@
 			close(fd);
 		return NULL;
 	}
-	struct comet_datagram_socket *link = talloc_zero(parent, struct comet_datagram_socket);
-	link->fd = fd;
-	link->address = ntohl(at.sin_addr.s_addr);
-	link->port = ntohs(at.sin_port);
-	link->handler = handler;
-	link->ctx = ctx;
-	link->event = tevent_add_fd(ev, link, fd, TEVENT_FD_READ, on_ready, link);
-	talloc_set_destructor(link, link_destroy);
-	return link;
+	struct comet_datagram_socket *datagram_socket =
+		talloc_zero(parent, struct comet_datagram_socket);
+	datagram_socket->fd = fd;
+	datagram_socket->address = ntohl(at.sin_addr.s_addr);
+	datagram_socket->port = ntohs(at.sin_port);
+	datagram_socket->handler = handler;
+	datagram_socket->ctx = ctx;
+	datagram_socket->event =
+		tevent_add_fd(ev, datagram_socket, fd, TEVENT_FD_READ, on_ready, datagram_socket);
+	talloc_set_destructor(datagram_socket, link_destroy);
+	return datagram_socket;
 }
 
 void
-comet_datagram_socket_send(
-	struct comet_datagram_socket *link, uint32_t address, const uint8_t *data, size_t length)
+comet_datagram_socket_send(struct comet_datagram_socket *datagram_socket, uint32_t address,
+	const uint8_t *data, size_t length)
 {
 	struct sockaddr_in to = {
 		.sin_family = AF_INET,
-		.sin_port = htons(link->port),
+		.sin_port = htons(datagram_socket->port),
 		.sin_addr.s_addr = htonl(address),
 	};
 
 	/* A view that does not leave is like one that is lost: the next one makes it good. */
-	if (sendto(link->fd, data, length, 0, (const struct sockaddr *)&to, sizeof to) < 0)
-		link->unsent++;
+	if (sendto(datagram_socket->fd, data, length, 0, (const struct sockaddr *)&to, sizeof to) <
+		0)
+		datagram_socket->unsent++;
 	else
-		link->bytes.sent += length;
+		datagram_socket->bytes.sent += length;
 }
 
 const struct comet_byte_counters *
-comet_datagram_socket_bytes(const struct comet_datagram_socket *link)
+comet_datagram_socket_bytes(const struct comet_datagram_socket *datagram_socket)
 {
-	return &link->bytes;
+	return &datagram_socket->bytes;
 }
 
 uint32_t
-comet_datagram_socket_address(const struct comet_datagram_socket *link)
+comet_datagram_socket_address(const struct comet_datagram_socket *datagram_socket)
 {
-	return link->address;
+	return datagram_socket->address;
 }
 
 const char *
--- a/libcometspindle/adapters/peers/datagram_socket.h
+++ b/libcometspindle/adapters/peers/datagram_socket.h
@@ -26,12 +26,12 @@
 
 /** Bytes of datagrams so far. */
 const struct comet_byte_counters *
-comet_datagram_socket_bytes(const struct comet_datagram_socket *link);
+comet_datagram_socket_bytes(const struct comet_datagram_socket *datagram_socket);
 
 /** Sends to the same port of another VM (IPv4, host order). */
 void
-comet_datagram_socket_send(
-	struct comet_datagram_socket *link, uint32_t address, const uint8_t *data, size_t length);
+comet_datagram_socket_send(struct comet_datagram_socket *datagram_socket, uint32_t address,
+	const uint8_t *data, size_t length);
 
 /** Room for an address as text. */
 #define COMET_IPV4_TEXT_BYTES 16
@@ -42,6 +42,6 @@
 
 /** This VM's own IPv4 address, host order. */
 uint32_t
-comet_datagram_socket_address(const struct comet_datagram_socket *link);
+comet_datagram_socket_address(const struct comet_datagram_socket *datagram_socket);
 
 #endif
--- a/libcometspindle/gateway/admission/crash_suspects.c
+++ b/libcometspindle/gateway/admission/crash_suspects.c
@@ -112,14 +112,14 @@
 
 void
 comet_crash_suspects_add(struct comet_crash_suspects *crash_suspects,
-	const struct comet_crash_tracker_run *run, uint64_t now_us)
+	const struct comet_crash_attempt *attempt, uint64_t now_us)
 {
-	evict_if_full(crash_suspects, run->request.team);
+	evict_if_full(crash_suspects, attempt->request.team);
 	struct suspect *suspect = g_new0(struct suspect, 1);
-	suspect->request = run->request;
-	suspect->incarnation_key = run->incarnation_key;
+	suspect->request = attempt->request;
+	suspect->incarnation_key = attempt->incarnation_key;
 	suspect->at_us = now_us;
-	suspect->cancelled = run->cancelled;
+	suspect->cancelled = attempt->cancelled;
 	g_queue_push_tail(&crash_suspects->suspects, suspect);
 }
 
--- a/libcometspindle/gateway/admission/crash_suspects.h
+++ b/libcometspindle/gateway/admission/crash_suspects.h
@@ -22,7 +22,7 @@
 /** Records an attempt that ended without a response. */
 void
 comet_crash_suspects_add(struct comet_crash_suspects *crash_suspects,
-	const struct comet_crash_tracker_run *run, uint64_t now_us);
+	const struct comet_crash_attempt *attempt, uint64_t now_us);
 
 /** @return whether a crash of the incarnation was recorded at or after last_seen_us. */
 bool
--- a/libcometspindle/gateway/admission/crash_tracker.c
+++ b/libcometspindle/gateway/admission/crash_tracker.c
@@ -118,8 +118,10 @@
 	uint32_t count = 0;
 
 	for (uint32_t i = 0; i < record->crashed.count; i++)
-		count += comet_incarnation_set_has(&record->excused, record->crashed.lives[i]) ? 0
-											       : 1;
+		count +=
+			comet_incarnation_set_has(&record->excused, record->crashed.incarnations[i])
+				? 0
+				: 1;
 	return count;
 }
 
@@ -148,7 +150,7 @@
 
 	for (uint32_t i = 0; i < record->crashed.count; i++)
 	{
-		uint32_t incarnation_key = record->crashed.lives[i];
+		uint32_t incarnation_key = record->crashed.incarnations[i];
 		if (!comet_incarnation_set_has(&record->excused, incarnation_key) &&
 			!is_explained_by_other(candidates, record, incarnation_key))
 			count++;
@@ -183,7 +185,7 @@
 		if (quarantined == record->quarantined)
 			continue;
 		record->quarantined = quarantined;
-		crash_tracker->ops->news(crash_tracker->ctx, &record->request,
+		crash_tracker->ops->on_change(crash_tracker->ctx, &record->request,
 			quarantined ? COMET_CRASH_TRACKER_QUARANTINED
 				    : COMET_CRASH_TRACKER_RELEASED,
 			count_crashes(record), detected_here);
@@ -253,7 +255,8 @@
 	bool changed = false;
 
 	for (uint32_t i = 0; i < record->crashed.count; i++)
-		changed = comet_incarnation_set_add(&record->excused, record->crashed.lives[i]) ||
+		changed = comet_incarnation_set_add(
+				  &record->excused, record->crashed.incarnations[i]) ||
 			  changed;
 	return changed;
 }
@@ -281,10 +284,10 @@
 {
 	record->changed_us = now_us;
 	if (was_recently_served(crash_tracker, &record->request, now_us) && excuse_all(record))
-		crash_tracker->ops->news(
-			crash_tracker->ctx, &record->request, COMET_CRASH_TRACKER_CLEARED, 0, true);
+		crash_tracker->ops->on_change(
+			crash_tracker->ctx, &record->request, COMET_CRASH_TRACKER_EXCUSED, 0, true);
 	else
-		crash_tracker->ops->news(crash_tracker->ctx, &record->request,
+		crash_tracker->ops->on_change(crash_tracker->ctx, &record->request,
 			COMET_CRASH_TRACKER_COUNTED, count_crashes(record), detected_here);
 	update_quarantine(crash_tracker, detected_here);
 }
@@ -327,13 +330,13 @@
 
 void
 comet_crash_tracker_add_suspect(struct comet_crash_tracker *crash_tracker,
-	const struct comet_crash_tracker_run *run, uint64_t now_us)
+	const struct comet_crash_attempt *attempt, uint64_t now_us)
 {
 	if (comet_crash_suspects_has_crashed(
-		    crash_tracker->crash_suspects, run->incarnation_key, run->last_seen_us))
-		add_crash(crash_tracker, &run->request, run->incarnation_key, now_us);
+		    crash_tracker->crash_suspects, attempt->incarnation_key, attempt->last_seen_us))
+		add_crash(crash_tracker, &attempt->request, attempt->incarnation_key, now_us);
 	else
-		comet_crash_suspects_add(crash_tracker->crash_suspects, run, now_us);
+		comet_crash_suspects_add(crash_tracker->crash_suspects, attempt, now_us);
 }
 
 void
@@ -356,7 +359,7 @@
 }
 
 void
-comet_crash_tracker_served(struct comet_crash_tracker *crash_tracker,
+comet_crash_tracker_mark_served(struct comet_crash_tracker *crash_tracker,
 	const struct comet_fingerprint *request, uint64_t now_us)
 {
 	struct record *record = find_record(crash_tracker, request);
@@ -366,7 +369,8 @@
 	if (record == NULL || !excuse_all(record))
 		return;
 	record->changed_us = now_us;
-	crash_tracker->ops->news(crash_tracker->ctx, request, COMET_CRASH_TRACKER_CLEARED, 0, true);
+	crash_tracker->ops->on_change(
+		crash_tracker->ctx, request, COMET_CRASH_TRACKER_EXCUSED, 0, true);
 	update_quarantine(crash_tracker, true);
 }
 
@@ -392,7 +396,7 @@
 static void
 encode_set(const struct comet_incarnation_set *set, uint32_t *lives, pb_size_t *count)
 {
-	memcpy(lives, set->lives, set->count * sizeof set->lives[0]);
+	memcpy(lives, set->incarnations, set->count * sizeof set->incarnations[0]);
 	*count = (pb_size_t)set->count;
 }
 
@@ -448,19 +452,22 @@
 
 void
 comet_crash_tracker_merge(
-	struct comet_crash_tracker *crash_tracker, const comet_Crashed *told, uint64_t now_us)
+	struct comet_crash_tracker *crash_tracker, const comet_Crashed *reported, uint64_t now_us)
 {
-	const struct comet_fingerprint request = {.digest = told->digest, .team = told->team};
-	uint64_t age_us = (uint64_t)told->age_ms * 1000;
+	const struct comet_fingerprint request = {
+		.digest = reported->digest, .team = reported->team};
+	uint64_t age_us = (uint64_t)reported->age_ms * 1000;
 	bool changed = false;
 
-	if (told->lives_count == 0 || age_us > RECORD_LIFETIME_US)
+	if (reported->lives_count == 0 || age_us > RECORD_LIFETIME_US)
 		return;
 	struct record *record = find_or_add_record(crash_tracker, &request);
-	for (pb_size_t i = 0; i < told->lives_count; i++)
-		changed = comet_incarnation_set_add(&record->crashed, told->lives[i]) || changed;
-	for (pb_size_t i = 0; i < told->excused_count; i++)
-		changed = comet_incarnation_set_add(&record->excused, told->excused[i]) || changed;
+	for (pb_size_t i = 0; i < reported->lives_count; i++)
+		changed =
+			comet_incarnation_set_add(&record->crashed, reported->lives[i]) || changed;
+	for (pb_size_t i = 0; i < reported->excused_count; i++)
+		changed = comet_incarnation_set_add(&record->excused, reported->excused[i]) ||
+			  changed;
 	/* The time of the last crash stays unchanged as well: peers that report the record to each
 	 * other would make it younger each time. */
 	if (!changed)
@@ -481,6 +488,6 @@
 
 	g_hash_table_iter_init(&iter, crash_tracker->records);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		counts.barred += ((const struct record *)value)->quarantined ? 1 : 0;
+		counts.quarantined += ((const struct record *)value)->quarantined ? 1 : 0;
 	return counts;
 }
--- a/libcometspindle/gateway/admission/crash_tracker.h
+++ b/libcometspindle/gateway/admission/crash_tracker.h
@@ -28,22 +28,22 @@
 	COMET_CRASH_TRACKER_COUNTED,     /**< another process crashed under the request */
 	COMET_CRASH_TRACKER_QUARANTINED, /**< the request must not be sent any more */
 	COMET_CRASH_TRACKER_RELEASED,    /**< the request may be sent again */
-	COMET_CRASH_TRACKER_CLEARED,     /**< it was served, so its earlier crashes are excused */
+	COMET_CRASH_TRACKER_EXCUSED,     /**< it was served, so its earlier crashes are excused */
 };
 
 struct comet_crash_tracker_ops
 {
 	/** Reports a change, with the number of processes whose crashes count against the request.
 	 * detected_here is false if a peer reported the change. */
-	void (*news)(void *ctx, const struct comet_fingerprint *request,
-		enum comet_crash_tracker_event event, uint32_t lives, bool detected_here);
+	void (*on_change)(void *ctx, const struct comet_fingerprint *request,
+		enum comet_crash_tracker_event event, uint32_t incarnations, bool detected_here);
 };
 
 /** Sizes of the tracker's tables. */
 struct comet_crash_tracker_counts
 {
-	uint32_t records; /**< requests under which at least one process crashed */
-	uint32_t barred;  /**< quarantined requests */
+	uint32_t records;     /**< requests under which at least one process crashed */
+	uint32_t quarantined; /**< quarantined requests */
 	uint32_t crash_suspects;
 };
 
@@ -67,7 +67,7 @@
 	const struct comet_fingerprint *request, uint64_t now_us);
 
 /** An attempt of a request at an endpoint that ended without a response. */
-struct comet_crash_tracker_run
+struct comet_crash_attempt
 {
 	struct comet_fingerprint request;
 	uint32_t incarnation_key; /**< of the endpoint's process */
@@ -79,7 +79,7 @@
  * was not seen alive after the attempt ended. */
 void
 comet_crash_tracker_add_suspect(struct comet_crash_tracker *crash_tracker,
-	const struct comet_crash_tracker_run *run, uint64_t now_us);
+	const struct comet_crash_attempt *attempt, uint64_t now_us);
 
 /** An incarnation of an endpoint's process crashed; last_seen_us is when it was last seen alive. */
 void
@@ -93,7 +93,7 @@
 
 /** An endpoint returned a successful response to the request. */
 void
-comet_crash_tracker_served(struct comet_crash_tracker *crash_tracker,
+comet_crash_tracker_mark_served(struct comet_crash_tracker *crash_tracker,
 	const struct comet_fingerprint *request, uint64_t now_us);
 
 /** Drops expired records and suspects; call at least once a second. */
@@ -109,7 +109,7 @@
 /** Merges a record that a peer reported. */
 void
 comet_crash_tracker_merge(
-	struct comet_crash_tracker *crash_tracker, const comet_Crashed *told, uint64_t now_us);
+	struct comet_crash_tracker *crash_tracker, const comet_Crashed *reported, uint64_t now_us);
 
 struct comet_crash_tracker_counts
 comet_crash_tracker_count(const struct comet_crash_tracker *crash_tracker);
--- a/libcometspindle/gateway/admission/fingerprint.c
+++ b/libcometspindle/gateway/admission/fingerprint.c
@@ -29,7 +29,7 @@
 /* Uses a cryptographic hash: on an open route any caller could otherwise construct a request that
  * collides with a request of another caller. A body of 2.5 KB takes some microseconds. */
 struct comet_fingerprint
-comet_fingerprint_of(const struct comet_fingerprint_parts *parts)
+comet_fingerprint_compute(const struct comet_fingerprint_parts *parts)
 {
 	const char *team = parts->team != NULL ? parts->team : "";
 	uint8_t digest[crypto_generichash_BYTES_MIN];
--- a/libcometspindle/gateway/admission/fingerprint.h
+++ b/libcometspindle/gateway/admission/fingerprint.h
@@ -32,7 +32,7 @@
 };
 
 struct comet_fingerprint
-comet_fingerprint_of(const struct comet_fingerprint_parts *parts);
+comet_fingerprint_compute(const struct comet_fingerprint_parts *parts);
 
 static inline bool
 comet_fingerprint_equal(const struct comet_fingerprint *a, const struct comet_fingerprint *b)
--- a/libcometspindle/gateway/admission/incarnation_set.c
+++ b/libcometspindle/gateway/admission/incarnation_set.c
@@ -9,7 +9,7 @@
 {
 	for (uint32_t i = 0; i < set->count; i++)
 	{
-		if (set->lives[i] == incarnation_key)
+		if (set->incarnations[i] == incarnation_key)
 			return true;
 	}
 	return false;
@@ -24,13 +24,13 @@
 		return false;
 	if (set->count < COMET_INCARNATION_SET_MAX)
 	{
-		set->lives[set->count++] = incarnation_key;
+		set->incarnations[set->count++] = incarnation_key;
 		return true;
 	}
 	for (uint32_t i = 1; i < set->count; i++)
-		largest = set->lives[i] > set->lives[largest] ? i : largest;
-	if (incarnation_key > set->lives[largest])
+		largest = set->incarnations[i] > set->incarnations[largest] ? i : largest;
+	if (incarnation_key > set->incarnations[largest])
 		return false;
-	set->lives[largest] = incarnation_key;
+	set->incarnations[largest] = incarnation_key;
 	return true;
 }
--- a/libcometspindle/gateway/admission/incarnation_set.h
+++ b/libcometspindle/gateway/admission/incarnation_set.h
@@ -14,7 +14,7 @@
 
 struct comet_incarnation_set
 {
-	uint32_t lives[COMET_INCARNATION_SET_MAX]; /**< keys: comet_instance_key() */
+	uint32_t incarnations[COMET_INCARNATION_SET_MAX]; /**< keys: comet_instance_key() */
 	uint32_t count;
 };
 
--- a/libcometspindle/gateway/admission/quota_requests.h
+++ b/libcometspindle/gateway/admission/quota_requests.h
@@ -29,15 +29,15 @@
 	void (*send)(void *ctx, uint32_t address, const uint8_t *data, size_t length);
 	/** Requesting VM: the owner has charged the request (wait_ms is 0), or names the delay
 	 * before the next attempt. */
-	void (*decided)(void *ctx, void *owner, uint32_t keeper, uint32_t wait_ms);
+	void (*decided)(void *ctx, void *user_data, uint32_t owner_vm, uint32_t wait_ms);
 	/** Requesting VM: the owner did not respond in time, or does not know the team's limit. */
-	void (*undecided)(void *ctx, void *owner, uint32_t keeper);
+	void (*failed)(void *ctx, void *user_data, uint32_t owner_vm);
 	/** Owner: charges a request of another VM. @return false if the team's limit is not known
 	 */
-	bool (*charge)(void *ctx, uint32_t vm, const struct comet_quota_request *request,
+	bool (*remote_charge)(void *ctx, uint32_t vm, const struct comet_quota_request *request,
 		uint32_t *wait_ms);
 	/** Owner: a request that was charged to another VM did not run. */
-	void (*returned)(void *ctx, uint32_t vm, const struct comet_quota_request *request);
+	void (*remote_refund)(void *ctx, uint32_t vm, const struct comet_quota_request *request);
 };
 
 struct comet_quota_requests;
@@ -47,33 +47,34 @@
 comet_quota_requests_create(
 	void *parent, uint32_t address, const struct comet_quota_requests_ops *ops, void *ctx);
 
-/** Sends a quota request to the owner. It ends with a call of decided or undecided, or with
+/** Sends a quota request to the owner. It ends with a call of decided or failed, or with
  * comet_quota_requests_cancel. */
 void
-comet_quota_requests_send(struct comet_quota_requests *charges, void *owner, uint32_t keeper,
-	const struct comet_quota_request *request, uint64_t now_us);
+comet_quota_requests_send(struct comet_quota_requests *quota_requests, void *user_data,
+	uint32_t owner_vm, const struct comet_quota_request *request, uint64_t now_us);
 
 /** Cancels the quota request of a caller that has disconnected. If the owner charges it later, the
  * amount is refunded. */
 void
-comet_quota_requests_cancel(struct comet_quota_requests *charges, const void *owner);
+comet_quota_requests_cancel(struct comet_quota_requests *quota_requests, const void *user_data);
 
 /** Tells the owner that a request it charged did not run. */
 void
-comet_quota_requests_refund(struct comet_quota_requests *charges, uint32_t keeper,
+comet_quota_requests_refund(struct comet_quota_requests *quota_requests, uint32_t owner_vm,
 	const struct comet_quota_request *request);
 
 /** Handles a datagram. @return whether it belongs to this module */
 bool
-comet_quota_requests_receive(struct comet_quota_requests *charges, const comet_Datagram *datagram);
+comet_quota_requests_receive(
+	struct comet_quota_requests *quota_requests, const comet_Datagram *datagram);
 
 /** Ends quota requests that have expired. @return whether any is still pending */
 bool
-comet_quota_requests_tick(struct comet_quota_requests *charges, uint64_t now_us);
+comet_quota_requests_tick(struct comet_quota_requests *quota_requests, uint64_t now_us);
 
 /** @return whether a VM recently left a quota request without a response. */
 bool
 comet_quota_requests_is_unresponsive(
-	const struct comet_quota_requests *charges, uint32_t vm, uint64_t now_us);
+	const struct comet_quota_requests *quota_requests, uint32_t vm, uint64_t now_us);
 
 #endif
--- a/libcometspindle/gateway/admission/rate_limiter.c
+++ b/libcometspindle/gateway/admission/rate_limiter.c
@@ -63,7 +63,7 @@
 	uint64_t last_us;             /* when own_spent_total last increased */
 	double typical_amount; /* moving average of the requests' amounts; 0: no request yet */
 	double unreported;     /* by this VM since its last report, each request capped */
-	bool told;             /* assumed_spent is what another VM reported */
+	bool reported;         /* assumed_spent is what another VM reported */
 	GHashTable *charged;   /* owner: VM -> uint64_t, charged and not reported by that VM yet */
 };
 
@@ -248,10 +248,10 @@
 }
 
 void
-comet_rate_limiter_set_vms(struct comet_rate_limiter *rate_limiter, uint32_t heard, uint32_t known,
+comet_rate_limiter_set_vms(struct comet_rate_limiter *rate_limiter, uint32_t alive, uint32_t known,
 	uint64_t partitioned_since_us)
 {
-	rate_limiter->alive_vms = heard;
+	rate_limiter->alive_vms = alive;
 	rate_limiter->known_vms = MAX(known, 1);
 	rate_limiter->partitioned_since_us = partitioned_since_us;
 }
@@ -407,7 +407,7 @@
 }
 
 void
-comet_rate_limiter_charged(
+comet_rate_limiter_add_own(
 	struct comet_rate_limiter *rate_limiter, uint32_t team_id, uint64_t amount, uint64_t now_us)
 {
 	struct quota *quota = advance_quota(rate_limiter, team_id, now_us);
@@ -506,9 +506,9 @@
 
 	if (quota == NULL)
 		return;
-	if (quota->told || slices_before_start(rate_limiter, quota) == 0)
+	if (quota->reported || slices_before_start(rate_limiter, quota) == 0)
 		return;
-	quota->told = true;
+	quota->reported = true;
 	double before = (double)recent - sum_slices(quota->all_spent);
 	set_assumed_spent(rate_limiter, quota, MAX(before, 0));
 }
@@ -557,12 +557,12 @@
 			.last_us = quota->last_us,
 		};
 		advance(rate_limiter, quota, now_us);
-		report.lately = (uint64_t)sum_slices(quota->own_spent);
+		report.own_spent_in_window = (uint64_t)sum_slices(quota->own_spent);
 		/* An assumption is not reported as knowledge. */
-		if (quota->told || slices_before_start(rate_limiter, quota) == 0)
-			report.recent = (uint64_t)(sum_slices(quota->all_spent) +
-						   sum_slices(quota->assumed_spent));
-		if (report.spent > 0 || report.recent > 0)
+		if (quota->reported || slices_before_start(rate_limiter, quota) == 0)
+			report.all_spent_in_window = (uint64_t)(sum_slices(quota->all_spent) +
+								sum_slices(quota->assumed_spent));
+		if (report.spent > 0 || report.all_spent_in_window > 0)
 			visit(ctx, &report);
 	}
 }
--- a/libcometspindle/gateway/admission/rate_limiter.h
+++ b/libcometspindle/gateway/admission/rate_limiter.h
@@ -45,7 +45,7 @@
 /** Sets the number of alive VMs and of known VMs, each including this one. partitioned_since_us:
  * when the first of the VMs that are unreachable now was last seen; 0 if all are alive. */
 void
-comet_rate_limiter_set_vms(struct comet_rate_limiter *rate_limiter, uint32_t heard, uint32_t known,
+comet_rate_limiter_set_vms(struct comet_rate_limiter *rate_limiter, uint32_t alive, uint32_t known,
 	uint64_t partitioned_since_us);
 
 /** Source of what is known of the spending of other VMs. */
@@ -67,7 +67,7 @@
 
 /** Records that the owner has charged amount to a request of this VM. */
 void
-comet_rate_limiter_charged(struct comet_rate_limiter *rate_limiter, uint32_t team_id,
+comet_rate_limiter_add_own(struct comet_rate_limiter *rate_limiter, uint32_t team_id,
 	uint64_t amount, uint64_t now_us);
 
 /**
@@ -108,10 +108,10 @@
 struct comet_rate_limiter_report
 {
 	uint32_t team_id;
-	uint64_t spent;   /**< by this VM since its process started */
-	uint64_t lately;  /**< by this VM in the last window */
-	uint64_t recent;  /**< by all VMs in the last window; 0: not known */
-	uint64_t last_us; /**< when this VM last spent something; 0: never */
+	uint64_t spent;               /**< by this VM since its process started */
+	uint64_t own_spent_in_window; /**< by this VM in the last window */
+	uint64_t all_spent_in_window; /**< by all VMs in the last window; 0: not known */
+	uint64_t last_us;             /**< when this VM last spent something; 0: never */
 };
 
 /** Records that all other VMs have received what this VM has spent so far. */
--- a/libcometspindle/gateway/admission/retry_budget.c
+++ b/libcometspindle/gateway/admission/retry_budget.c
@@ -78,7 +78,8 @@
 }
 
 void
-comet_retry_budget_first(struct comet_retry_budget *budget, const char *service, uint64_t now_us)
+comet_retry_budget_record_first_attempt(
+	struct comet_retry_budget *budget, const char *service, uint64_t now_us)
 {
 	struct bucket *bucket = refill(budget, service, now_us);
 
--- a/libcometspindle/gateway/admission/retry_budget.h
+++ b/libcometspindle/gateway/admission/retry_budget.h
@@ -31,7 +31,8 @@
 
 /** Records the first attempt of a request. */
 void
-comet_retry_budget_first(struct comet_retry_budget *budget, const char *service, uint64_t now_us);
+comet_retry_budget_record_first_attempt(
+	struct comet_retry_budget *budget, const char *service, uint64_t now_us);
 
 /** Takes one retry. @return false if the budget is exhausted. */
 bool
--- a/libcometspindle/gateway/directory.h
+++ b/libcometspindle/gateway/directory.h
@@ -82,7 +82,7 @@
 	 * from which the directory was restored, and may be written again. */
 	void (*restored)(void *ctx, const char *zone, bool tentative);
 	/** An invalid item was published; the other items stay in force. */
-	void (*refused)(void *ctx, const struct comet_directory_invalid_item *item);
+	void (*item_invalid)(void *ctx, const struct comet_directory_invalid_item *item);
 	/** All changes up to `position` have been reported, and those of endpoints up to
 	 * `endpoints`. */
 	void (*revision)(void *ctx, uint64_t position, uint64_t endpoints);
@@ -92,8 +92,8 @@
 	void (*called)(void *ctx, enum comet_directory_call call);
 	/** The directory has responded to a call; reported for each response. */
 	void (*answered)(void *ctx);
-	/** The directory answers again (there) or has stopped answering. */
-	void (*dependency)(void *ctx, bool there, const char *why);
+	/** The directory answers again (available) or has stopped answering. */
+	void (*availability_changed)(void *ctx, bool available, const char *why);
 };
 
 /** How a VM reads the directory. */
@@ -118,11 +118,11 @@
 	 * whether there was one. */
 	bool (*restart_stale_watch)(struct comet_directory *directory, uint64_t for_us);
 	/** @return whether a response is being received. */
-	bool (*is_arriving)(const struct comet_directory *directory);
+	bool (*is_receiving)(const struct comet_directory *directory);
 	/** Changes how the directory is read. */
 	void (*set_mode)(struct comet_directory *directory, enum comet_directory_mode mode);
 	/** Records that the local state matches that of a VM to which the directory answers. */
-	void (*followed)(struct comet_directory *directory);
+	void (*set_synced)(struct comet_directory *directory);
 	/** Encodes all changes after a position for a peer. @return NULL if they are unknown and a
 	 * snapshot is needed. */
 	GBytes *(*delta)(struct comet_directory *directory, uint64_t after);
@@ -141,7 +141,7 @@
 	/** Encodes all data for a peer. @return NULL while data is missing. */
 	GBytes *(*snapshot)(struct comet_directory *directory);
 	/** Applies a peer's snapshot or delta if it is newer. */
-	gboolean (*offer)(
+	gboolean (*apply)(
 		struct comet_directory *directory, const char *data, size_t length, GError **error);
 };
 
--- a/libcometspindle/gateway/endpoints/incarnations.c
+++ b/libcometspindle/gateway/endpoints/incarnations.c
@@ -38,31 +38,31 @@
 }
 
 static int
-incarnations_destroy(struct comet_incarnations *lives)
+incarnations_destroy(struct comet_incarnations *incarnations)
 {
-	g_hash_table_destroy(lives->by_id);
+	g_hash_table_destroy(incarnations->by_id);
 	return 0;
 }
 
 struct comet_incarnations *
 comet_incarnations_create(void *parent)
 {
-	struct comet_incarnations *lives = talloc_zero(parent, struct comet_incarnations);
+	struct comet_incarnations *incarnations = talloc_zero(parent, struct comet_incarnations);
 
-	lives->by_id = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_state);
-	talloc_set_destructor(lives, incarnations_destroy);
-	return lives;
+	incarnations->by_id = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_state);
+	talloc_set_destructor(incarnations, incarnations_destroy);
+	return incarnations;
 }
 
 static struct endpoint_state *
-find_or_add_state(struct comet_incarnations *lives, const char *id)
+find_or_add_state(struct comet_incarnations *incarnations, const char *id)
 {
-	struct endpoint_state *state = g_hash_table_lookup(lives->by_id, id);
+	struct endpoint_state *state = g_hash_table_lookup(incarnations->by_id, id);
 
 	if (state == NULL)
 	{
 		state = g_new0(struct endpoint_state, 1);
-		g_hash_table_insert(lives->by_id, g_strdup(id), state);
+		g_hash_table_insert(incarnations->by_id, g_strdup(id), state);
 	}
 	return state;
 }
@@ -82,10 +82,10 @@
 }
 
 enum comet_incarnation_order
-comet_incarnations_observe(struct comet_incarnations *lives,
+comet_incarnations_observe(struct comet_incarnations *incarnations,
 	const struct comet_instance_record *record, uint64_t now_us)
 {
-	struct endpoint_state *state = find_or_add_state(lives, record->id);
+	struct endpoint_state *state = find_or_add_state(incarnations, record->id);
 
 	state->expiring = false;
 	if (record->process_start_ms == 0 && state->process_start_ms != 0)
@@ -101,37 +101,37 @@
 }
 
 void
-comet_incarnations_forget(struct comet_incarnations *lives, const char *id)
+comet_incarnations_forget(struct comet_incarnations *incarnations, const char *id)
 {
-	g_hash_table_remove(lives->by_id, id);
+	g_hash_table_remove(incarnations->by_id, id);
 }
 
 void
-comet_incarnations_schedule_expiry(struct comet_incarnations *lives, const char *id)
+comet_incarnations_schedule_expiry(struct comet_incarnations *incarnations, const char *id)
 {
-	struct endpoint_state *state = find_or_add_state(lives, id);
+	struct endpoint_state *state = find_or_add_state(incarnations, id);
 
 	state->expiring = true;
 	TALLOC_FREE(state->earlier); /* the directory has no entry of it */
 }
 
 void
-comet_incarnations_expire(struct comet_incarnations *lives, const char *id)
+comet_incarnations_expire(struct comet_incarnations *incarnations, const char *id)
 {
-	const struct endpoint_state *state = g_hash_table_lookup(lives->by_id, id);
+	const struct endpoint_state *state = g_hash_table_lookup(incarnations->by_id, id);
 
 	if (state != NULL && state->expiring)
-		g_hash_table_remove(lives->by_id, id);
+		g_hash_table_remove(incarnations->by_id, id);
 }
 
 void
-comet_incarnations_tick(struct comet_incarnations *lives, uint64_t now_us,
+comet_incarnations_tick(struct comet_incarnations *incarnations, uint64_t now_us,
 	void (*accepted)(void *ctx, const struct comet_instance_record *record), void *ctx)
 {
 	GHashTableIter iter;
 	gpointer value = NULL;
 
-	g_hash_table_iter_init(&iter, lives->by_id);
+	g_hash_table_iter_init(&iter, incarnations->by_id);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
 	{
 		struct endpoint_state *state = value;
@@ -146,9 +146,9 @@
 }
 
 uint64_t
-comet_incarnations_start_ms(const struct comet_incarnations *lives, const char *id)
+comet_incarnations_start_ms(const struct comet_incarnations *incarnations, const char *id)
 {
-	const struct endpoint_state *state = g_hash_table_lookup(lives->by_id, id);
+	const struct endpoint_state *state = g_hash_table_lookup(incarnations->by_id, id);
 
 	return state != NULL ? state->process_start_ms : 0;
 }
--- a/libcometspindle/gateway/endpoints/incarnations.h
+++ b/libcometspindle/gateway/endpoints/incarnations.h
@@ -30,30 +30,30 @@
 
 /** Records a valid entry of the directory. @return the incarnation that wrote it. */
 enum comet_incarnation_order
-comet_incarnations_observe(struct comet_incarnations *lives,
+comet_incarnations_observe(struct comet_incarnations *incarnations,
 	const struct comet_instance_record *record, uint64_t now_us);
 
 /** Drops the state of an endpoint that the directory no longer lists. */
 void
-comet_incarnations_forget(struct comet_incarnations *lives, const char *id);
+comet_incarnations_forget(struct comet_incarnations *incarnations, const char *id);
 
 /** Marks an endpoint that the directory no longer lists but that stays in use until it expires. Its
  * latest process start is kept. */
 void
-comet_incarnations_schedule_expiry(struct comet_incarnations *lives, const char *id);
+comet_incarnations_schedule_expiry(struct comet_incarnations *incarnations, const char *id);
 
 /** Drops the state of an expired endpoint unless an entry has been recorded since. */
 void
-comet_incarnations_expire(struct comet_incarnations *lives, const char *id);
+comet_incarnations_expire(struct comet_incarnations *incarnations, const char *id);
 
 /** Accepts each entry of an earlier incarnation that has been the last one for several seconds, and
  * calls accepted for it: that incarnation is the running one. */
 void
-comet_incarnations_tick(struct comet_incarnations *lives, uint64_t now_us,
+comet_incarnations_tick(struct comet_incarnations *incarnations, uint64_t now_us,
 	void (*accepted)(void *ctx, const struct comet_instance_record *record), void *ctx);
 
 /** Returns the latest process start reported under an id; 0: none. */
 uint64_t
-comet_incarnations_start_ms(const struct comet_incarnations *lives, const char *id);
+comet_incarnations_start_ms(const struct comet_incarnations *incarnations, const char *id);
 
 #endif
