--- a/libcometspindle/gateway/endpoints/instance.c
+++ b/libcometspindle/gateway/endpoints/instance.c
@@ -67,13 +67,13 @@
 		instance->gossip_us != 0 && now_us - instance->gossip_us < GOSSIP_STALE_US;
 	bool report_fresh =
 		instance->reported_us != 0 && now_us - instance->reported_us < LOAD_REPORT_FRESH_US;
-	uint32_t others = gossip_fresh ? instance->others : 0;
+	uint32_t others = gossip_fresh ? instance->remote_requests : 0;
 
 	/* A fresh report of the endpoint is exact; gossip adds up older counts. */
 	if (report_fresh)
 		others = instance->reported_total -
 			 MIN(instance->reported_total, instance->reported_own);
-	return instance->own + others;
+	return instance->local_requests + others;
 }
 
 uint32_t
@@ -86,7 +86,7 @@
 				       MIN(instance->reported_total, instance->reported_own)
 			     : 0;
 
-	return instance->own + MAX(instance->others, reported_others);
+	return instance->local_requests + MAX(instance->remote_requests, reported_others);
 }
 
 /* Estimates how many prompt tokens of the grants to other VMs are not processed yet, from the time
@@ -95,8 +95,8 @@
 granted_prompt_tokens(const struct comet_latency_model *latency_model,
 	const struct comet_instance *instance, uint64_t now_us)
 {
-	double token_us =
-		comet_latency_model_prompt_us(latency_model, 1000) / 1000 * instance->pace;
+	double token_us = comet_latency_model_prompt_us(latency_model, 1000) / 1000 *
+			  instance->relative_latency;
 	double processed = (double)(now_us - instance->granted_us) / MAX(token_us, 1.0);
 
 	return MAX(instance->granted_prompt_tokens - processed, 0.0);
@@ -111,29 +111,30 @@
 	instance->granted_prompt_tokens =
 		granted_prompt_tokens(latency_model, instance, now_us) + prompt_tokens;
 	instance->granted_us = now_us;
-	instance->others++;
+	instance->remote_requests++;
 	instance->reported_total++;
 }
 
 void
 comet_instance_slot_released(struct comet_instance *instance)
 {
-	instance->others -= MIN(instance->others, 1);
+	instance->remote_requests -= MIN(instance->remote_requests, 1);
 	instance->reported_total -= MIN(instance->reported_total, 1);
 }
 
 void
-comet_instance_estimate(const struct comet_instance *instance, const struct comet_request_size *job,
-	uint64_t now_us, uint64_t *first_us, uint64_t *total_us)
+comet_instance_estimate(const struct comet_instance *instance,
+	const struct comet_request_size *size, uint64_t now_us, uint64_t *first_us,
+	uint64_t *total_us)
 {
 	const struct comet_latency_model *latency_model = instance->latency_model;
 	double cold_factor = instance->warm_until_us > now_us ? COLD_LATENCY_FACTOR : 1.0;
 
-	if (!job->stream)
+	if (!size->stream)
 	{
 		double plain_us =
 			comet_latency_model_mean_us(latency_model, COMET_LATENCY_KIND_PLAIN);
-		*first_us = (uint64_t)(plain_us * instance->pace * cold_factor);
+		*first_us = (uint64_t)(plain_us * instance->relative_latency * cold_factor);
 		*total_us = *first_us;
 		return;
 	}
@@ -143,15 +144,16 @@
 		granted_prompt_tokens(latency_model, instance, now_us));
 	double ahead = comet_latency_model_prompt_us(
 		latency_model, instance->local_prompt_tokens + (uint32_t)others);
-	double first = comet_latency_model_first_us(latency_model, job->prompt_tokens) + ahead;
-	*first_us = (uint64_t)(first * instance->pace * cold_factor);
-	*total_us = (uint64_t)((first + token * job->output_tokens) * instance->pace * cold_factor);
+	double first = comet_latency_model_first_us(latency_model, size->prompt_tokens) + ahead;
+	*first_us = (uint64_t)(first * instance->relative_latency * cold_factor);
+	*total_us = (uint64_t)((first + token * size->output_tokens) * instance->relative_latency *
+			       cold_factor);
 }
 
 double
 comet_instance_slot_us(const struct comet_instance *instance)
 {
-	return comet_latency_model_slot_us(instance->latency_model) * instance->pace;
+	return comet_latency_model_slot_us(instance->latency_model) * instance->relative_latency;
 }
 
 void
@@ -159,13 +161,13 @@
 {
 	instance->probe_in_flight = instance->ejected_until_us != 0;
 	instance->probe_started_us = now_us;
-	comet_slow_start_count(&instance->start, instance->start_bounds, now_us);
+	comet_slow_start_count(&instance->slow_start, instance->slow_start_config, now_us);
 }
 
 void
-comet_instance_may_be_cold(struct comet_instance *instance, uint64_t now_us)
+comet_instance_begin_slow_start(struct comet_instance *instance, uint64_t now_us)
 {
-	comet_slow_start_begin(&instance->start, instance->start_bounds, now_us);
+	comet_slow_start_begin(&instance->slow_start, instance->slow_start_config, now_us);
 }
 
 bool
@@ -175,10 +177,11 @@
 }
 
 void
-comet_instance_started(struct comet_instance *instance, const struct comet_request_size *job)
+comet_instance_dispatch_started(
+	struct comet_instance *instance, const struct comet_request_size *size)
 {
-	instance->own++;
-	instance->local_prompt_tokens += job->prompt_tokens;
+	instance->local_requests++;
+	instance->local_prompt_tokens += size->prompt_tokens;
 }
 
 static void
@@ -189,22 +192,22 @@
 
 	instance->samples++;
 	double weight = MAX(RELATIVE_LATENCY_WEIGHT, 1.0 / (1.0 + instance->samples));
-	instance->pace += weight * (sample - instance->pace);
+	instance->relative_latency += weight * (sample - instance->relative_latency);
 }
 
 void
 comet_instance_first_event(
-	struct comet_instance *instance, const struct comet_request_size *job, uint64_t first_us)
+	struct comet_instance *instance, const struct comet_request_size *size, uint64_t first_us)
 {
 	struct comet_latency_model *latency_model = instance->latency_model;
 
-	instance->local_prompt_tokens -= MIN(instance->local_prompt_tokens, job->prompt_tokens);
-	if (!job->stream || first_us == COMET_INSTANCE_UNMEASURED)
+	instance->local_prompt_tokens -= MIN(instance->local_prompt_tokens, size->prompt_tokens);
+	if (!size->stream || first_us == COMET_LATENCY_UNKNOWN)
 		return;
 	/* A sample includes queueing time, so it is only used while no request waits there. */
-	if (instance->own + instance->others <= instance->slots)
-		comet_latency_model_learn_first(
-			latency_model, job->prompt_tokens, (double)first_us / instance->pace);
+	if (instance->local_requests + instance->remote_requests <= instance->slots)
+		comet_latency_model_learn_first(latency_model, size->prompt_tokens,
+			(double)first_us / instance->relative_latency);
 }
 
 /* Updates the relative latency and the latency model from a plain response. */
@@ -222,7 +225,7 @@
 }
 
 void
-comet_instance_learn(
+comet_instance_add_sample(
 	struct comet_instance *instance, bool stream, uint64_t taken_us, uint32_t events)
 {
 	struct comet_latency_model *latency_model = instance->latency_model;
@@ -238,31 +241,31 @@
 		      : event_us;
 	learn_relative_latency(instance, event_us, usual_us);
 	comet_latency_model_learn(
-		latency_model, COMET_LATENCY_KIND_EVENT, event_us / instance->pace);
+		latency_model, COMET_LATENCY_KIND_EVENT, event_us / instance->relative_latency);
 }
 
 /* Updates the relative latency and the latency model from a complete response. */
 static void
-learn_latency(struct comet_instance *instance, const struct comet_request_size *job,
+learn_latency(struct comet_instance *instance, const struct comet_request_size *size,
 	uint64_t stream_us, uint32_t events)
 {
 	struct comet_latency_model *latency_model = instance->latency_model;
 
-	if (stream_us == COMET_INSTANCE_UNMEASURED)
+	if (stream_us == COMET_LATENCY_UNKNOWN)
 		return;
-	if (!job->stream)
+	if (!size->stream)
 	{
 		learn_plain(instance, stream_us);
 		return;
 	}
-	double first = comet_latency_model_first_us(latency_model, job->prompt_tokens);
-	comet_latency_model_learn(
-		latency_model, COMET_LATENCY_KIND_SLOT, first + (double)stream_us / instance->pace);
-	if (events < 2 || job->output_tokens == 0)
+	double first = comet_latency_model_first_us(latency_model, size->prompt_tokens);
+	comet_latency_model_learn(latency_model, COMET_LATENCY_KIND_SLOT,
+		first + (double)stream_us / instance->relative_latency);
+	if (events < 2 || size->output_tokens == 0)
 		return;
-	comet_instance_learn(instance, true, stream_us, events);
+	comet_instance_add_sample(instance, true, stream_us, events);
 	comet_latency_model_learn(latency_model, COMET_LATENCY_KIND_TOKEN,
-		(double)stream_us / job->output_tokens / instance->pace);
+		(double)stream_us / size->output_tokens / instance->relative_latency);
 }
 
 /* Records a failed dispatch and ejects the instance after too many of them. @return whether the
@@ -276,7 +279,7 @@
 		instance->failures++; /* an error response counts in the error rate alone */
 	instance->error_rate += ERROR_WEIGHT * (1.0 - instance->error_rate);
 	/* A failed connection attempt or a failed probe is sufficient on its own. */
-	bool conclusive = result == COMET_DISPATCH_UNREACHED || instance->probe_in_flight;
+	bool conclusive = result == COMET_DISPATCH_UNREACHABLE || instance->probe_in_flight;
 	if (!conclusive && instance->failures < EJECTION_FAILURES &&
 		instance->error_rate < EJECTION_ERROR_RATE)
 		return false;
@@ -311,7 +314,7 @@
 	{
 	case COMET_DISPATCH_SERVED:
 		if (instance->ejected_until_us != 0)
-			comet_instance_may_be_cold(instance, now_us);
+			comet_instance_begin_slow_start(instance, now_us);
 		return learn_success(instance);
 	case COMET_DISPATCH_CANCELLED:
 		instance->probe_in_flight = false;
@@ -330,28 +333,28 @@
 	case COMET_DISPATCH_BROKEN:
 	case COMET_DISPATCH_SILENT:
 		/* All requests of a process end with it: if none remains, it may have restarted. */
-		if (instance->own + instance->others == 0)
-			comet_instance_may_be_cold(instance, now_us);
+		if (instance->local_requests + instance->remote_requests == 0)
+			comet_instance_begin_slow_start(instance, now_us);
 		return learn_failure(instance, result, now_us);
-	case COMET_DISPATCH_UNREACHED:
+	case COMET_DISPATCH_UNREACHABLE:
 		/* Another process may soon listen on the address. */
-		comet_instance_may_be_cold(instance, now_us);
+		comet_instance_begin_slow_start(instance, now_us);
 		return learn_failure(instance, result, now_us);
 	}
 	return false;
 }
 
 bool
-comet_instance_ended(struct comet_instance *instance, const struct comet_request_size *job,
-	bool had_first, enum comet_dispatch_result result, uint64_t stream_us, uint32_t events,
-	uint64_t now_us)
+comet_instance_dispatch_ended(struct comet_instance *instance,
+	const struct comet_request_size *size, bool had_first, enum comet_dispatch_result result,
+	uint64_t stream_us, uint32_t events, uint64_t now_us)
 {
-	instance->own -= MIN(instance->own, 1);
+	instance->local_requests -= MIN(instance->local_requests, 1);
 	if (!had_first)
 		instance->local_prompt_tokens -=
-			MIN(instance->local_prompt_tokens, job->prompt_tokens);
+			MIN(instance->local_prompt_tokens, size->prompt_tokens);
 	if (result == COMET_DISPATCH_SERVED)
-		learn_latency(instance, job, stream_us, events);
+		learn_latency(instance, size, stream_us, events);
 	return learn_result(instance, result, now_us);
 }
 
@@ -381,7 +384,7 @@
 comet_instance_load_reported(struct comet_instance *instance, uint32_t total, uint64_t now_us)
 {
 	instance->reported_total = total;
-	instance->reported_own = instance->own;
+	instance->reported_own = instance->local_requests;
 	instance->reported_us = now_us;
 }
 
--- a/libcometspindle/gateway/endpoints/instance.h
+++ b/libcometspindle/gateway/endpoints/instance.h
@@ -15,21 +15,21 @@
 struct comet_request_size
 {
 	uint32_t prompt_tokens;
-	uint32_t output_tokens; /**< expected; 0 for plain requests */
-	uint32_t output_most;   /**< upper limit set by the client; 0: unknown */
+	uint32_t output_tokens;     /**< expected; 0 for plain requests */
+	uint32_t max_output_tokens; /**< upper limit set by the client; 0: unknown */
 	bool stream;
 };
 
 /** Result of a dispatch, from which load, latency and health are updated. */
 enum comet_dispatch_result
 {
-	COMET_DISPATCH_SERVED,    /**< complete response */
-	COMET_DISPATCH_ERROR,     /**< the endpoint ran the request and responded with an error */
-	COMET_DISPATCH_REFUSED,   /**< the endpoint was full and did not run the request */
-	COMET_DISPATCH_BROKEN,    /**< the connection failed before the end of the response */
-	COMET_DISPATCH_SILENT,    /**< the endpoint sent nothing before the timeout */
-	COMET_DISPATCH_UNREACHED, /**< no connection was established */
-	COMET_DISPATCH_CANCELLED, /**< the caller left; no effect on the endpoint's health */
+	COMET_DISPATCH_SERVED,      /**< complete response */
+	COMET_DISPATCH_ERROR,       /**< the endpoint ran the request and responded with an error */
+	COMET_DISPATCH_REFUSED,     /**< the endpoint was full and did not run the request */
+	COMET_DISPATCH_BROKEN,      /**< the connection failed before the end of the response */
+	COMET_DISPATCH_SILENT,      /**< the endpoint sent nothing before the timeout */
+	COMET_DISPATCH_UNREACHABLE, /**< no connection was established */
+	COMET_DISPATCH_CANCELLED,   /**< the caller left; no effect on the endpoint's health */
 	COMET_DISPATCH_WRONG_INSTANCE, /**< another process uses its address */
 };
 
@@ -43,8 +43,8 @@
 {
 	char *id;
 	uint64_t process_start_ms; /**< process start by its own clock; 0: unknown */
-	uint32_t key;   /**< of this incarnation: comet_instance_key(id, process_start_ms) */
-	uint32_t place; /**< the same for all incarnations: comet_hash_name(id) */
+	uint32_t key;     /**< of this incarnation: comet_instance_key(id, process_start_ms) */
+	uint32_t id_hash; /**< the same for all incarnations: comet_hash_name(id) */
 	char *service;
 	struct comet_latency_model *latency_model; /**< shared by its service */
 	char *address;
@@ -57,11 +57,11 @@
 	bool listed;        /**< the directory lists it */
 	uint64_t expire_us; /**< removed at this time, if unlisted after an outage; 0: no expiry */
 	uint64_t warm_until_us; /**< end of its warm-up, during which it is slower */
-	struct comet_slow_start start;
-	const struct comet_slow_start_config *start_bounds; /**< shared by its service */
-	uint32_t own;                                       /**< running dispatches of this VM */
+	struct comet_slow_start slow_start;
+	const struct comet_slow_start_config *slow_start_config; /**< shared by its service */
+	uint32_t local_requests;       /**< running dispatches of this VM */
 	uint32_t local_prompt_tokens;  /**< of own dispatches without a first event */
-	uint32_t others;               /**< running dispatches of other VMs, from gossip */
+	uint32_t remote_requests;      /**< running dispatches of other VMs, from gossip */
 	uint32_t remote_prompt_tokens; /**< of dispatches of other VMs without a first event */
 	double granted_prompt_tokens;  /**< of grants to other VMs, not processed yet at
 					* granted_us
@@ -69,9 +69,9 @@
 	uint64_t granted_us;
 	uint64_t gossip_us;        /**< time of the newest gossip about its load; 0: none */
 	uint32_t reported_total;   /**< running and queued requests, from its last response */
-	uint32_t reported_own;     /**< own at that time */
+	uint32_t reported_own;     /**< local_requests at that time */
 	uint64_t reported_us;      /**< time of that response; 0: none */
-	double pace;               /**< latency relative to the usual latency of its service */
+	double relative_latency;   /**< latency relative to the usual latency of its service */
 	uint32_t samples;          /**< number of samples of the relative latency */
 	uint64_t last_seen_us;     /**< last time it sent data on any connection; 0: never */
 	uint32_t failures;         /**< consecutive */
@@ -113,13 +113,14 @@
  * taken_us, or a stream of that many events within taken_us. A plain response with taken_us 0 and a
  * stream of fewer than two events are ignored. */
 void
-comet_instance_learn(
+comet_instance_add_sample(
 	struct comet_instance *instance, bool stream, uint64_t taken_us, uint32_t events);
 
 /** Estimates the time until the first event (or the complete plain response) and until the end. */
 void
-comet_instance_estimate(const struct comet_instance *instance, const struct comet_request_size *job,
-	uint64_t now_us, uint64_t *first_us, uint64_t *total_us);
+comet_instance_estimate(const struct comet_instance *instance,
+	const struct comet_request_size *size, uint64_t now_us, uint64_t *first_us,
+	uint64_t *total_us);
 
 /** Estimates how long a typical request of its service occupies a slot of this instance. */
 double
@@ -133,7 +134,7 @@
 /** Starts slow start for an instance that may be cold: after a start, or after a time without
  * requests. */
 void
-comet_instance_may_be_cold(struct comet_instance *instance, uint64_t now_us);
+comet_instance_begin_slow_start(struct comet_instance *instance, uint64_t now_us);
 
 /** @return whether a probe is in flight and has not timed out. */
 bool
@@ -141,24 +142,25 @@
 
 /** Records the start of a dispatch. */
 void
-comet_instance_started(struct comet_instance *instance, const struct comet_request_size *job);
+comet_instance_dispatch_started(
+	struct comet_instance *instance, const struct comet_request_size *size);
 
 /** Marks a time that is excluded from learning. */
-#define COMET_INSTANCE_UNMEASURED 0
+#define COMET_LATENCY_UNKNOWN 0
 
 /** Records that the first event of a dispatch arrived after first_us. */
 void
 comet_instance_first_event(
-	struct comet_instance *instance, const struct comet_request_size *job, uint64_t first_us);
+	struct comet_instance *instance, const struct comet_request_size *size, uint64_t first_us);
 
 /** Records the end of a dispatch. @return true when the instance was ejected, readmitted or found
  * to be replaced. */
 bool
-comet_instance_ended(struct comet_instance *instance, const struct comet_request_size *job,
-	bool had_first, enum comet_dispatch_result result, uint64_t stream_us, uint32_t events,
-	uint64_t now_us);
+comet_instance_dispatch_ended(struct comet_instance *instance,
+	const struct comet_request_size *size, bool had_first, enum comet_dispatch_result result,
+	uint64_t stream_us, uint32_t events, uint64_t now_us);
 
-/** Records the result of a dispatch of another VM. @return as comet_instance_ended. */
+/** Records the result of a dispatch of another VM. @return as comet_instance_dispatch_ended. */
 bool
 comet_instance_remote_result(
 	struct comet_instance *instance, enum comet_dispatch_result result, uint64_t now_us);
--- a/libcometspindle/gateway/endpoints/instances.c
+++ b/libcometspindle/gateway/endpoints/instances.c
@@ -107,11 +107,11 @@
 	instance->id = talloc_strdup(instance, record->id);
 	instance->process_start_ms = record->process_start_ms;
 	instance->key = comet_instance_key(record->id, record->process_start_ms);
-	instance->place = comet_hash_name(record->id);
+	instance->id_hash = comet_hash_name(record->id);
 	instance->service = talloc_strdup(instance, record->service);
 	instance->latency_model = latency_model_of(instances, record->service);
-	instance->start_bounds = slow_start_config_of(instances, record->service);
-	instance->pace = 1.0;
+	instance->slow_start_config = slow_start_config_of(instances, record->service);
+	instance->relative_latency = 1.0;
 	instances->changes++;
 	g_hash_table_insert(instances->by_id, instance->id, instance);
 	g_hash_table_insert(instances->by_key, GUINT_TO_POINTER(instance->key), instance);
@@ -137,8 +137,8 @@
 }
 
 struct comet_instance *
-comet_instances_put(struct comet_instances *instances, const struct comet_instance_record *record,
-	uint64_t now_us)
+comet_instances_update(struct comet_instances *instances,
+	const struct comet_instance_record *record, uint64_t now_us)
 {
 	struct comet_instance *instance = comet_instances_find(instances, record->id);
 
@@ -161,8 +161,8 @@
 	instance->warm_until_us =
 		record->warm_up_ms > 0 ? now_us + (uint64_t)record->warm_up_ms * 1000 : 0;
 	if (!instance->listed)
-		comet_instance_may_be_cold(instance, now_us);
-	comet_slow_start_set_until(&instance->start, instance->warm_until_us);
+		comet_instance_begin_slow_start(instance, now_us);
+	comet_slow_start_set_until(&instance->slow_start, instance->warm_until_us);
 	instance->listed = true;
 	instance->expire_us = 0;
 	return instance;
@@ -224,7 +224,7 @@
 			continue;
 		instance->evacuated = evacuated;
 		if (!evacuated)
-			comet_instance_may_be_cold(instance, now_us);
+			comet_instance_begin_slow_start(instance, now_us);
 	}
 }
 
@@ -267,7 +267,7 @@
 	struct comet_instance *instance = comet_instances_find(instances, id);
 	uint64_t last_us =
 		outage_us + config->settled_us - MIN(config->settled_us, SETTLED_MARGIN_US);
-	uint64_t until_us = MIN(now_us + config->usual_us, last_us);
+	uint64_t until_us = MIN(now_us + config->expiry_us, last_us);
 
 	if (instance == NULL || until_us <= now_us)
 		return false;
@@ -326,28 +326,28 @@
 }
 
 size_t
-comet_instances_services(const struct comet_instances *instances)
+comet_instances_service_count(const struct comet_instances *instances)
 {
 	return MAX(g_hash_table_size(instances->services),
 		g_hash_table_size(instances->latency_models));
 }
 
 uint64_t
-comet_instances_changes(const struct comet_instances *instances)
+comet_instances_change_count(const struct comet_instances *instances)
 {
 	return instances->changes;
 }
 
 uint64_t
 comet_instances_typical_first_us(struct comet_instances *instances, const char *service,
-	const struct comet_request_size *job)
+	const struct comet_request_size *size)
 {
 	const struct comet_latency_model *latency_model = latency_model_of(instances, service);
 
-	if (!job->stream)
+	if (!size->stream)
 		return (uint64_t)comet_latency_model_mean_us(
 			latency_model, COMET_LATENCY_KIND_PLAIN);
-	return (uint64_t)comet_latency_model_first_us(latency_model, job->prompt_tokens);
+	return (uint64_t)comet_latency_model_first_us(latency_model, size->prompt_tokens);
 }
 
 uint64_t
--- a/libcometspindle/gateway/endpoints/instances.h
+++ b/libcometspindle/gateway/endpoints/instances.h
@@ -34,8 +34,8 @@
 /** Adds or updates an instance from its entry; another incarnation replaces the known one. @return
  * the instance. */
 struct comet_instance *
-comet_instances_put(struct comet_instances *instances, const struct comet_instance_record *record,
-	uint64_t now_us);
+comet_instances_update(struct comet_instances *instances,
+	const struct comet_instance_record *record, uint64_t now_us);
 
 /** Removes an instance that the directory no longer lists. */
 void
@@ -44,7 +44,7 @@
 /** How long an instance that is unlisted after an outage stays in use. */
 struct comet_expiry_config
 {
-	uint64_t usual_us;   /**< measured from the time it was found unlisted */
+	uint64_t expiry_us;  /**< measured from the time it was found unlisted */
 	uint64_t settled_us; /**< time after an outage until the directory is complete again */
 };
 
@@ -93,11 +93,11 @@
 
 /** Returns the number of services for which state is kept. */
 size_t
-comet_instances_services(const struct comet_instances *instances);
+comet_instances_service_count(const struct comet_instances *instances);
 
 /** Returns a counter that increases when an instance is added, removed or moved to another zone. */
 uint64_t
-comet_instances_changes(const struct comet_instances *instances);
+comet_instances_change_count(const struct comet_instances *instances);
 
 /** Calls visit for each instance. */
 void
@@ -107,7 +107,7 @@
 /** Estimates the time until the first event at an idle instance of usual latency. */
 uint64_t
 comet_instances_typical_first_us(struct comet_instances *instances, const char *service,
-	const struct comet_request_size *job);
+	const struct comet_request_size *size);
 
 /** Estimates how long a typical request of a service occupies a slot of an instance of usual
  * latency. */
--- a/libcometspindle/gateway/endpoints/outage.c
+++ b/libcometspindle/gateway/endpoints/outage.c
@@ -13,24 +13,24 @@
 /* A persistent connection that closes or becomes silent does not indicate an outage. When it was
  * treated as one, endpoints that had left in the meantime counted as expired and stayed in use. */
 static bool
-indicates_outage(const struct comet_outage *outage, enum comet_call_failure failure)
+indicates_outage(const struct comet_outage *outage, enum comet_directory_failure failure)
 {
 	switch (failure)
 	{
-	case COMET_CALL_REFUSED:
+	case COMET_DIRECTORY_FAILURE_REFUSED:
 		return true;
-	case COMET_CALL_ENDED:
+	case COMET_DIRECTORY_FAILURE_INCOMPLETE:
 		/* After a failure, calls use a new connection and should return at once. */
 		return outage->failing;
-	case COMET_CALL_LIMITED:
+	case COMET_DIRECTORY_FAILURE_RATE_LIMITED:
 		break;
 	}
 	return false;
 }
 
 bool
-comet_outage_failed(struct comet_outage *outage, enum comet_call_failure failure, uint64_t sent_us,
-	uint64_t now_us)
+comet_outage_failed(struct comet_outage *outage, enum comet_directory_failure failure,
+	uint64_t sent_us, uint64_t now_us)
 {
 	bool first = !outage->failing;
 
@@ -41,7 +41,7 @@
 }
 
 uint64_t
-comet_outage_answered(struct comet_outage *outage)
+comet_outage_succeeded(struct comet_outage *outage)
 {
 	uint64_t outage_us = outage->outage_us;
 
--- a/libcometspindle/gateway/endpoints/outage.h
+++ b/libcometspindle/gateway/endpoints/outage.h
@@ -13,11 +13,11 @@
 #include <stdint.h>
 
 /** How a call to the directory failed. */
-enum comet_call_failure
+enum comet_directory_failure
 {
-	COMET_CALL_ENDED,   /**< no complete response arrived */
-	COMET_CALL_REFUSED, /**< the directory responded that it is unavailable */
-	COMET_CALL_LIMITED, /**< the rate limit of the directory rejected the call */
+	COMET_DIRECTORY_FAILURE_INCOMPLETE,   /**< no complete response arrived */
+	COMET_DIRECTORY_FAILURE_REFUSED,      /**< the directory responded that it is unavailable */
+	COMET_DIRECTORY_FAILURE_RATE_LIMITED, /**< rejected by its rate limit */
 };
 
 /** State of the detection; all zero: no outage. */
@@ -32,13 +32,13 @@
 /** Records the failure of a call that was made at sent_us. @return whether it is the first failure
  * since the last successful call. */
 bool
-comet_outage_failed(struct comet_outage *outage, enum comet_call_failure failure, uint64_t sent_us,
-	uint64_t now_us);
+comet_outage_failed(struct comet_outage *outage, enum comet_directory_failure failure,
+	uint64_t sent_us, uint64_t now_us);
 
 /** Records a successful call, which ends an outage. @return outage_us of the outage that ended; 0:
  * there was none.
  */
 uint64_t
-comet_outage_answered(struct comet_outage *outage);
+comet_outage_succeeded(struct comet_outage *outage);
 
 #endif
--- a/libcometspindle/gateway/endpoints/slow_start.c
+++ b/libcometspindle/gateway/endpoints/slow_start.c
@@ -19,7 +19,7 @@
 static bool
 is_limited(const struct comet_slow_start_config *config)
 {
-	return config->cold_us > 0 && config->most_per_s > 0;
+	return config->cold_us > 0 && config->max_per_s > 0;
 }
 
 static bool
@@ -78,7 +78,7 @@
 	const struct comet_slow_start_config *config, double share, double draw, uint64_t now_us)
 {
 	bool cold = now_us < start->until_us || has_been_idle(start, now_us);
-	double limit = config->most_per_s * share;
+	double limit = config->max_per_s * share;
 
 	if (!is_limited(config) || !cold)
 		return true;
--- a/libcometspindle/gateway/endpoints/slow_start.h
+++ b/libcometspindle/gateway/endpoints/slow_start.h
@@ -19,8 +19,8 @@
 /** Slow start limits for the endpoints of a service. */
 struct comet_slow_start_config
 {
-	uint64_t cold_us;  /**< how long an endpoint is cold after its start; 0: never */
-	double most_per_s; /**< requests per second that it may receive from all VMs; 0: no limit */
+	uint64_t cold_us; /**< how long an endpoint is cold after its start; 0: never */
+	double max_per_s; /**< requests per second that it may receive from all VMs; 0: no limit */
 };
 
 /** Slow start state of one endpoint; all zero: no requests yet. */
--- a/libcometspindle/gateway/fleet/gossip.c
+++ b/libcometspindle/gateway/fleet/gossip.c
@@ -174,7 +174,7 @@
 	peer->needs_view = peer->needs_view || peer->last_seen_us == 0 || restarted;
 	peer->isolated = view->peers_count == 0;
 	if (peer->last_seen_us == 0 || peer->unreachable || restarted)
-		gossip->ops->changed(
+		gossip->ops->peer_state_changed(
 			gossip->ctx, peer->address, true, restarted ? "restarted" : "heard");
 	peer->incarnation = view->incarnation;
 	peer->started_us = now_us - MIN((uint64_t)view->age_ms * 1000, now_us);
@@ -243,7 +243,7 @@
 			peer->unreachable = true;
 			g_array_set_size(peer->loads, 0);
 			gossip->remote_load_stale = true;
-			gossip->ops->changed(gossip->ctx, peer->address, false,
+			gossip->ops->peer_state_changed(gossip->ctx, peer->address, false,
 				peer->leaving ? "stopped" : "silent");
 		}
 		if (!peer->seed && last_us != 0 && now_us - last_us > PEER_EXPIRY_US)
@@ -255,7 +255,7 @@
 clear_remote_load(void *ctx, struct comet_instance *instance)
 {
 	(void)ctx;
-	instance->others = 0;
+	instance->remote_requests = 0;
 	instance->remote_prompt_tokens = 0;
 }
 
@@ -264,8 +264,8 @@
 {
 	uint64_t prompt = (uint64_t)instance->remote_prompt_tokens + busy->prompt_tokens;
 
-	instance->others += MIN(
-		busy->running, REMOTE_REQUESTS_MAX - MIN(instance->others, REMOTE_REQUESTS_MAX));
+	instance->remote_requests += MIN(busy->running,
+		REMOTE_REQUESTS_MAX - MIN(instance->remote_requests, REMOTE_REQUESTS_MAX));
 	instance->remote_prompt_tokens = (uint32_t)MIN(prompt, UINT32_MAX);
 }
 
@@ -347,7 +347,7 @@
 }
 
 void
-comet_gossip_count(const struct comet_gossip *gossip, uint32_t *known, uint32_t *heard)
+comet_gossip_count_peers(const struct comet_gossip *gossip, uint32_t *known, uint32_t *alive)
 {
 	GHashTableIter at;
 	gpointer value = NULL;
@@ -355,7 +355,7 @@
 	uint32_t seeds = 0;
 
 	*known = 0;
-	*heard = 0;
+	*alive = 0;
 	g_hash_table_iter_init(&at, gossip->peers);
 	while (g_hash_table_iter_next(&at, NULL, &value))
 	{
@@ -365,7 +365,7 @@
 		if (peer->last_seen_us == 0 || gone)
 			continue;
 		(*known)++;
-		*heard += peer->unreachable ? 0 : 1;
+		*alive += peer->unreachable ? 0 : 1;
 	}
 	if (*known == 0)
 	{
--- a/libcometspindle/gateway/fleet/gossip.h
+++ b/libcometspindle/gateway/fleet/gossip.h
@@ -38,8 +38,8 @@
 struct comet_gossip_ops
 {
 	void (*send)(void *ctx, uint32_t address, const uint8_t *data, size_t length);
-	/** A VM became reachable or restarted (there), or became unreachable. */
-	void (*changed)(void *ctx, uint32_t address, bool there, const char *why);
+	/** A VM became reachable or restarted (alive), or became unreachable. */
+	void (*peer_state_changed)(void *ctx, uint32_t address, bool alive, const char *why);
 };
 
 struct comet_gossip;
@@ -96,7 +96,7 @@
  * preferred over this one for a task of the whole zone. */
 void
 comet_gossip_count_zone_peers(
-	const struct comet_gossip *gossip, uint64_t now_us, uint32_t *heard, uint32_t *better);
+	const struct comet_gossip *gossip, uint64_t now_us, uint32_t *alive, uint32_t *better);
 
 /** @return whether a VM is alive and in the zone of this VM. */
 bool
@@ -125,7 +125,7 @@
 /** Counts the other VMs that have not stopped, and those of them that are reachable. If no VM was
  * ever reachable, the seeds count as known. */
 void
-comet_gossip_count(const struct comet_gossip *gossip, uint32_t *known, uint32_t *heard);
+comet_gossip_count_peers(const struct comet_gossip *gossip, uint32_t *known, uint32_t *alive);
 
 /** @return the earliest time at which a VM that is now unreachable was last seen; 0: all are
  * reachable. */
--- a/libcometspindle/gateway/fleet/gossip_owners.c
+++ b/libcometspindle/gateway/fleet/gossip_owners.c
@@ -119,14 +119,14 @@
 
 void
 comet_gossip_count_zone_peers(
-	const struct comet_gossip *gossip, uint64_t now_us, uint32_t *heard, uint32_t *better)
+	const struct comet_gossip *gossip, uint64_t now_us, uint32_t *alive, uint32_t *better)
 {
 	struct candidate self = make_candidate(gossip->address, gossip->started_us, true,
 		gossip->cpu_percent, gossip->zone, now_us);
 	GHashTableIter at;
 	gpointer value = NULL;
 
-	*heard = 1;
+	*alive = 1;
 	*better = 0;
 	g_hash_table_iter_init(&at, gossip->peers);
 	while (g_hash_table_iter_next(&at, NULL, &value))
@@ -137,7 +137,7 @@
 			continue;
 		struct candidate candidate = make_candidate(peer->address, peer->started_us, true,
 			peer->cpu_percent, gossip->zone, now_us);
-		(*heard)++;
+		(*alive)++;
 		*better += is_preferred(&candidate, &self) ? 1 : 0;
 	}
 }
--- a/libcometspindle/gateway/fleet/gossip_rounds.c
+++ b/libcometspindle/gateway/fleet/gossip_rounds.c
@@ -162,11 +162,11 @@
 {
 	comet_View *view = ctx;
 
-	if (instance->own == 0 || view->busy_count >= G_N_ELEMENTS(view->busy))
+	if (instance->local_requests == 0 || view->busy_count >= G_N_ELEMENTS(view->busy))
 		return;
 	view->busy[view->busy_count++] = (comet_Busy){
 		.instance = instance->key,
-		.running = instance->own,
+		.running = instance->local_requests,
 		.prompt_tokens = instance->local_prompt_tokens,
 	};
 }
@@ -198,8 +198,8 @@
 	view->spent[view->spent_count++] = (comet_Spent){
 		.team = report->team_id,
 		.amount = report->spent,
-		.recent = report->recent,
-		.lately = report->lately,
+		.recent = report->all_spent_in_window,
+		.lately = report->own_spent_in_window,
 	};
 }
 
--- a/libcometspindle/gateway/fleet/reader_election.c
+++ b/libcometspindle/gateway/fleet/reader_election.c
@@ -106,7 +106,7 @@
 }
 
 uint32_t
-comet_reader_election_ahead(
+comet_reader_election_find_ahead(
 	const struct comet_reader_election *reader_election, uint64_t position, uint64_t now_us)
 {
 	const struct report *best = NULL;
@@ -122,7 +122,7 @@
 }
 
 uint32_t
-comet_reader_election_ahead_complete(
+comet_reader_election_find_complete(
 	const struct comet_reader_election *reader_election, uint64_t position, uint64_t now_us)
 {
 	for (size_t i = 0; i < REPORTS_MAX; i++)
@@ -155,7 +155,7 @@
 static bool
 is_stale(struct comet_reader_election *reader_election, uint64_t position, uint64_t now_us)
 {
-	if (comet_reader_election_ahead(reader_election, position, now_us) == 0)
+	if (comet_reader_election_find_ahead(reader_election, position, now_us) == 0)
 		reader_election->stale_us = 0;
 	else if (reader_election->stale_us == 0)
 		reader_election->stale_us = now_us;
@@ -164,7 +164,7 @@
 }
 
 void
-comet_reader_election_failed(struct comet_reader_election *reader_election, uint64_t now_us)
+comet_reader_election_report_failure(struct comet_reader_election *reader_election, uint64_t now_us)
 {
 	reader_election->failed_us = now_us;
 }
@@ -179,9 +179,9 @@
 	uint64_t expiry_us = reader_election->answered_us + reader_election->followed_us +
 			     reader_election->jitter_us;
 
-	if (!state->listed || state->zone_vms < ZONE_VMS_MIN)
+	if (!state->has_list || state->zone_vms < ZONE_VMS_MIN)
 		return COMET_DIRECTORY_MODE_DIRECT;
-	if (!state->leaving && state->better < READERS_PER_ZONE)
+	if (!state->leaving && state->preferred < READERS_PER_ZONE)
 		return COMET_DIRECTORY_MODE_READER;
 	if (stale || reader_election->answered_us == 0 || now_us >= expiry_us)
 		return COMET_DIRECTORY_MODE_FALLBACK;
--- a/libcometspindle/gateway/fleet/reader_election.h
+++ b/libcometspindle/gateway/fleet/reader_election.h
@@ -28,11 +28,11 @@
 /** What this VM knows about itself and its zone. */
 struct comet_reader_election_state
 {
-	bool listed;       /**< it has read the directory once */
-	bool leaving;      /**< it is stopping */
-	uint32_t zone_vms; /**< alive VMs in its zone, including itself */
-	uint32_t better;   /**< those of them that are preferred as readers */
-	uint64_t position; /**< position up to which its endpoints are complete */
+	bool has_list;      /**< it has read the directory once */
+	bool leaving;       /**< it is stopping */
+	uint32_t zone_vms;  /**< alive VMs in its zone, including itself */
+	uint32_t preferred; /**< those of them that are preferred as readers */
+	uint64_t position;  /**< position up to which its endpoints are complete */
 };
 
 struct comet_reader_election;
@@ -49,7 +49,8 @@
 
 /** Records that a reader did not provide what it had reported. */
 void
-comet_reader_election_failed(struct comet_reader_election *reader_election, uint64_t now_us);
+comet_reader_election_report_failure(
+	struct comet_reader_election *reader_election, uint64_t now_us);
 
 /** @return how this VM reads the directory; call this several times a second. */
 enum comet_directory_mode
@@ -58,12 +59,12 @@
 
 /** @return the fresh reader whose endpoints are furthest ahead of `position`, or 0. */
 uint32_t
-comet_reader_election_ahead(
+comet_reader_election_find_ahead(
 	const struct comet_reader_election *reader_election, uint64_t position, uint64_t now_us);
 
 /** @return a fresh reader whose data is complete beyond `position`, or 0. */
 uint32_t
-comet_reader_election_ahead_complete(
+comet_reader_election_find_complete(
 	const struct comet_reader_election *reader_election, uint64_t position, uint64_t now_us);
 
 /** @return a random fresh reader whose endpoints are complete up to `position`, or 0. */
--- a/libcometspindle/gateway/header_names.h
+++ b/libcometspindle/gateway/header_names.h
@@ -16,7 +16,7 @@
 	const char *team;        /**< set by the gateway: the team of the caller's key */
 	const char *expect_instance; /**< set by the gateway: any other process must refuse the
 					request */
-	const char *stamp;           /**< on responses that the endpoint itself produced */
+	const char *server_stamp;    /**< on responses that the endpoint itself produced */
 	const char *not_run;         /**< on refusals by an endpoint that did not run the request */
 	const char *load;        /**< on responses: running requests, waiting requests and slots */
 	const char *tokens;      /**< number of prompt tokens and maximum number of output tokens */
--- a/libcometspindle/gateway/messages/pending_rpcs.c
+++ b/libcometspindle/gateway/messages/pending_rpcs.c
@@ -44,11 +44,12 @@
 }
 
 void *
-comet_pending_rpcs_add(struct comet_pending_rpcs *rpcs, void *owner, uint32_t vm, uint64_t now_us)
+comet_pending_rpcs_add(
+	struct comet_pending_rpcs *rpcs, void *user_data, uint32_t vm, uint64_t now_us)
 {
 	struct comet_pending_rpc *rpc = g_malloc0(rpcs->entry_bytes);
 
-	rpc->owner = owner;
+	rpc->user_data = user_data;
 	rpc->number = ++rpcs->number;
 	rpc->sent_us = now_us;
 	rpc->timeout_us = ANSWER_TIMEOUT_US;
@@ -77,12 +78,12 @@
 }
 
 void *
-comet_pending_rpcs_find_owner(const struct comet_pending_rpcs *rpcs, const void *owner)
+comet_pending_rpcs_find_user_data(const struct comet_pending_rpcs *rpcs, const void *user_data)
 {
 	for (GList *link = rpcs->pending.head; link != NULL; link = link->next)
 	{
 		const struct comet_pending_rpc *rpc = link->data;
-		if (rpc->owner == owner)
+		if (rpc->user_data == user_data)
 			return link->data;
 	}
 	return NULL;
--- a/libcometspindle/gateway/messages/pending_rpcs.h
+++ b/libcometspindle/gateway/messages/pending_rpcs.h
@@ -15,7 +15,7 @@
 /** An RPC that is not answered yet. It is the first member of the caller's entry for the RPC. */
 struct comet_pending_rpc
 {
-	void *owner;     /**< object of the caller that the RPC belongs to */
+	void *user_data; /**< object of the caller that the RPC belongs to */
 	uint64_t number; /**< the answer repeats it */
 	uint64_t sent_us;
 	uint64_t timeout_us; /**< the RPC expires this long after sent_us */
@@ -33,7 +33,8 @@
  * @return its entry; everything after struct comet_pending_rpc is zeroed.
  */
 void *
-comet_pending_rpcs_add(struct comet_pending_rpcs *rpcs, void *owner, uint32_t vm, uint64_t now_us);
+comet_pending_rpcs_add(
+	struct comet_pending_rpcs *rpcs, void *user_data, uint32_t vm, uint64_t now_us);
 
 /** @return the entry of the RPC with this number to this VM, or NULL. */
 void *
@@ -45,7 +46,7 @@
 
 /** @return the entry of the oldest RPC that belongs to an object of the caller, or NULL. */
 void *
-comet_pending_rpcs_find_owner(const struct comet_pending_rpcs *rpcs, const void *owner);
+comet_pending_rpcs_find_user_data(const struct comet_pending_rpcs *rpcs, const void *user_data);
 
 /** @return the entry of an expired RPC, or NULL. */
 void *
--- a/libcometspindle/gateway/placement/endpoint_picker.c
+++ b/libcometspindle/gateway/placement/endpoint_picker.c
@@ -46,9 +46,9 @@
 static bool
 was_attempted(const struct comet_placement_item *item, uint32_t key)
 {
-	for (uint32_t i = 0; i < item->n_tried; i++)
+	for (uint32_t i = 0; i < item->n_attempted; i++)
 	{
-		if (item->tried[i] == key)
+		if (item->attempted[i] == key)
 			return true;
 	}
 	return false;
@@ -57,7 +57,7 @@
 uint32_t
 comet_endpoint_picker_queue_limit(const struct comet_placement_item *item)
 {
-	if (!item->job.stream)
+	if (!item->size.stream)
 		return 0; /* any rank may queue: a slot becomes free within milliseconds */
 	if (item->route_rank == 0)
 		return QUEUE_LIMIT_RANK_0;
@@ -67,11 +67,11 @@
 /* The load at which an instance accepts no more requests of this kind. */
 static uint32_t
 max_load(const struct comet_placement_item *item, const struct comet_instance *instance,
-	uint32_t beyond)
+	uint32_t queue_limit)
 {
-	if (!item->job.stream)
+	if (!item->size.stream)
 		return instance->slots + instance->slots * PLAIN_QUEUE_PERCENT / 100;
-	return instance->slots + beyond;
+	return instance->slots + queue_limit;
 }
 
 /* Returns whether the item may be sent to the instance, as a probe if the instance was ejected. */
@@ -83,7 +83,7 @@
 		return true;
 	if (comet_instance_is_probing(instance, now_us) || now_us < instance->ejected_until_us)
 		return false;
-	return item->repeatable ||
+	return item->retryable ||
 	       now_us - instance->ejected_until_us > NON_RETRYABLE_PROBE_DELAY_US;
 }
 
@@ -128,16 +128,16 @@
 /* Computes the cost of sending the item to an instance: the time until the first event, plus a
  * weighted part of the remaining service time. */
 static struct candidate
-estimate_candidate(struct comet_endpoint_picker *choice, const struct comet_placement_item *item,
+estimate_candidate(struct comet_endpoint_picker *picker, const struct comet_placement_item *item,
 	const struct comet_endpoint_picker_scope *scope, struct comet_instance *instance,
 	uint64_t now_us)
 {
 	struct candidate candidate = {.instance = instance};
 
-	candidate.load = scope->kept ? comet_instance_owned_load(instance, now_us)
-				     : comet_instance_load(instance, now_us);
+	candidate.load = scope->owned ? comet_instance_owned_load(instance, now_us)
+				      : comet_instance_load(instance, now_us);
 	comet_instance_estimate(
-		instance, &item->job, now_us, &candidate.first_us, &candidate.total_us);
+		instance, &item->size, now_us, &candidate.first_us, &candidate.total_us);
 	double total_us = (double)candidate.total_us;
 	double first_us = (double)candidate.first_us;
 	if (candidate.load >= instance->slots)
@@ -149,10 +149,10 @@
 			 COMPLETION_WEIGHT * (total_us - first_us);
 	/* The response has to be complete in time even if it is longer than estimated. */
 	double end_us = (double)now_us + candidate.wait_us + LENGTH_MARGIN * total_us;
-	if (item->end_us != 0 && end_us > (double)item->end_us)
-		candidate.cost += LATENESS_WEIGHT * (end_us - (double)item->end_us);
-	if (!scope->kept)
-		candidate.cost *= 1 + COST_JITTER * comet_random_double(&choice->rng);
+	if (item->answer_deadline_us != 0 && end_us > (double)item->answer_deadline_us)
+		candidate.cost += LATENESS_WEIGHT * (end_us - (double)item->answer_deadline_us);
+	if (!scope->owned)
+		candidate.cost *= 1 + COST_JITTER * comet_random_double(&picker->rng);
 	return candidate;
 }
 
@@ -177,16 +177,16 @@
 
 /* Returns whether the slow start of the instance admits one more request from this VM. */
 static bool
-slow_start_admits(const struct comet_endpoint_picker *choice,
+slow_start_admits(const struct comet_endpoint_picker *picker,
 	const struct comet_endpoint_picker_scope *scope, const struct comet_instance *instance,
 	uint64_t now_us)
 {
-	if (scope->slow_start_share == 0 || instance->start_bounds->most_per_s == 0)
+	if (scope->slow_start_share == 0 || instance->slow_start_config->max_per_s == 0)
 		return true;
 	double sample =
-		(double)(uint32_t)comet_hash_score(choice->seed, instance->key) / UINT32_MAX;
-	return comet_slow_start_admits(
-		&instance->start, instance->start_bounds, scope->slow_start_share, sample, now_us);
+		(double)(uint32_t)comet_hash_score(picker->seed, instance->key) / UINT32_MAX;
+	return comet_slow_start_admits(&instance->slow_start, instance->slow_start_config,
+		scope->slow_start_share, sample, now_us);
 }
 
 /* Records the picked candidate and its estimates. */
@@ -205,12 +205,12 @@
 	decision->first_us = cheapest->first_us;
 	decision->total_us = cheapest->total_us;
 	decision->cost = cheapest->cost;
-	if (!scope->kept)
-		decision->view_age_us = now_us - MAX(instance->gossip_us, instance->reported_us);
+	if (!scope->owned)
+		decision->gossip_age_us = now_us - MAX(instance->gossip_us, instance->reported_us);
 }
 
 struct comet_instance *
-comet_endpoint_picker_pick(struct comet_endpoint_picker *choice,
+comet_endpoint_picker_pick(struct comet_endpoint_picker *picker,
 	const struct comet_placement_item *item, const struct comet_endpoint_picker_scope *scope,
 	uint64_t now_us, struct comet_placement_decision *decision)
 {
@@ -227,14 +227,14 @@
 			is_excluded(scope, instance->key))
 			continue;
 		struct candidate candidate =
-			estimate_candidate(choice, item, scope, instance, now_us);
+			estimate_candidate(picker, item, scope, instance, now_us);
 		bool in_time = meets_soft_deadline(item, &candidate, now_us);
-		if (candidate.load >= max_load(item, instance, scope->beyond))
+		if (candidate.load >= max_load(item, instance, scope->queue_limit))
 		{
 			full_would_be_in_time = full_would_be_in_time || in_time;
 			continue;
 		}
-		if (!slow_start_admits(choice, scope, instance, now_us))
+		if (!slow_start_admits(picker, scope, instance, now_us))
 			continue;
 		decision->with_room++;
 		update_cheapest(in_time ? &cheapest_in_time : &cheapest_late, &candidate);
--- a/libcometspindle/gateway/placement/endpoint_picker.h
+++ b/libcometspindle/gateway/placement/endpoint_picker.h
@@ -27,11 +27,10 @@
 struct comet_endpoint_picker_scope
 {
 	const GPtrArray *instances; /**< Candidates, struct comet_instance; NULL: none. */
-	uint32_t beyond; /**< Streams only: requests allowed at an endpoint in excess of its slots.
-			  */
-	bool kept;       /**< Whether this VM is the owner, which has the exact load. */
+	uint32_t queue_limit;     /**< Streams only: requests allowed beyond an endpoint's slots. */
+	bool owned;               /**< Whether this VM is the owner, which has the exact load. */
 	double slow_start_share;  /**< Share of the slow start capacity of an endpoint that this VM
-			       may  use; 0: another VM decides on admission. */
+			       may use; 0: another VM decides on admission. */
 	const uint32_t *excluded; /**< Keys of instances that must not be picked. */
 	uint32_t n_excluded;
 };
@@ -55,7 +54,7 @@
  * @return the instance, or NULL if none was picked.
  */
 struct comet_instance *
-comet_endpoint_picker_pick(struct comet_endpoint_picker *choice,
+comet_endpoint_picker_pick(struct comet_endpoint_picker *picker,
 	const struct comet_placement_item *item, const struct comet_endpoint_picker_scope *scope,
 	uint64_t now_us, struct comet_placement_decision *decision);
 
--- a/libcometspindle/gateway/placement/grants.c
+++ b/libcometspindle/gateway/placement/grants.c
@@ -16,7 +16,7 @@
 	 * of the shard. */
 	struct comet_pending_rpc rpc;
 	uint32_t shard;
-	uint32_t beyond;
+	uint32_t queue_limit;
 	uint64_t max_wait_us; /* how long the request may wait in the owner's queue */
 	bool queued;          /* the owner answered that the request waits in its queue */
 };
@@ -62,40 +62,41 @@
 
 void
 comet_grants_request(struct comet_grants *grants, struct comet_placement_item *item,
-	uint32_t keeper, const struct comet_slot_request *request, uint64_t now_us)
+	uint32_t owner_vm, const struct comet_slot_request *request, uint64_t now_us)
 {
 	comet_Datagram datagram = {.which_body = comet_Datagram_ask_tag};
 	comet_SlotAsk *message = &datagram.body.ask;
 	struct pending_slot_request *pending =
-		comet_pending_rpcs_add(grants->rpcs, item, keeper, now_us);
+		comet_pending_rpcs_add(grants->rpcs, item, owner_vm, now_us);
 
 	pending->shard = request->shard;
-	pending->beyond = request->beyond;
+	pending->queue_limit = request->queue_limit;
 	pending->max_wait_us = request->wait_us;
 	message->asker = grants->address;
 	message->number = pending->rpc.number;
 	message->shard = request->shard;
-	message->prompt_tokens = request->job.prompt_tokens;
-	message->output_tokens = request->job.output_tokens;
-	message->plain = !request->job.stream;
-	message->beyond = request->beyond;
+	message->prompt_tokens = request->size.prompt_tokens;
+	message->output_tokens = request->size.output_tokens;
+	message->plain = !request->size.stream;
+	message->beyond = request->queue_limit;
 	message->team_rank = request->team_rank;
 	message->route_rank = request->route_rank;
 	message->late = request->late;
 	message->wait_ms = (uint32_t)(request->wait_us / 1000);
-	message->left_ms = remaining_ms(request->end_us, now_us);
+	message->left_ms = remaining_ms(request->answer_deadline_us, now_us);
 	message->aim_ms = remaining_ms(request->soft_deadline_us, now_us);
-	message->except_count = (pb_size_t)MIN(request->n_except, G_N_ELEMENTS(message->except));
+	message->except_count = (pb_size_t)MIN(request->n_excluded, G_N_ELEMENTS(message->except));
 	if (message->except_count > 0)
-		memcpy(message->except, request->except,
+		memcpy(message->except, request->excluded,
 			message->except_count * sizeof message->except[0]);
-	send_datagram(grants, keeper, &datagram);
+	send_datagram(grants, owner_vm, &datagram);
 }
 
 void
 comet_grants_cancel(struct comet_grants *grants, struct comet_placement_item *item)
 {
-	struct pending_slot_request *pending = comet_pending_rpcs_find_owner(grants->rpcs, item);
+	struct pending_slot_request *pending =
+		comet_pending_rpcs_find_user_data(grants->rpcs, item);
 
 	if (pending != NULL)
 		comet_pending_rpcs_remove(grants->rpcs, pending);
@@ -109,7 +110,7 @@
 	[COMET_DISPATCH_REFUSED] = comet_SlotResult_REFUSED,
 	[COMET_DISPATCH_BROKEN] = comet_SlotResult_BROKEN,
 	[COMET_DISPATCH_SILENT] = comet_SlotResult_SILENT,
-	[COMET_DISPATCH_UNREACHED] = comet_SlotResult_UNREACHED,
+	[COMET_DISPATCH_UNREACHABLE] = comet_SlotResult_UNREACHED,
 	[COMET_DISPATCH_CANCELLED] = comet_SlotResult_NOTHING,
 	[COMET_DISPATCH_WRONG_INSTANCE] = comet_SlotResult_NOTHING,
 };
@@ -126,7 +127,7 @@
 }
 
 void
-comet_grants_release(struct comet_grants *grants, uint32_t keeper, uint32_t instance_key,
+comet_grants_release(struct comet_grants *grants, uint32_t owner_vm, uint32_t instance_key,
 	const struct comet_grants_completion *completion)
 {
 	comet_Datagram datagram = {.which_body = comet_Datagram_freed_tag};
@@ -141,7 +142,7 @@
 		freed->taken_us = (uint32_t)MIN(completion->taken_us, UINT32_MAX);
 		freed->result = reported_results[completion->result];
 	}
-	send_datagram(grants, keeper, &datagram);
+	send_datagram(grants, owner_vm, &datagram);
 }
 
 static void
@@ -162,21 +163,22 @@
 	{
 		found->queued = true;
 		found->rpc.timeout_us += found->max_wait_us;
-		grants->ops->waits(
-			grants->ctx, found->rpc.owner, (uint64_t)answer->expected_ms * 1000);
+		grants->ops->expected_wait(
+			grants->ctx, found->rpc.user_data, (uint64_t)answer->expected_ms * 1000);
 		return;
 	}
 	struct pending_slot_request request = *found;
 	comet_pending_rpcs_remove(grants->rpcs, found);
 	if (answer->instance != 0)
 		grants->ops->granted(
-			grants->ctx, request.rpc.owner, request.rpc.vm, answer->instance);
+			grants->ctx, request.rpc.user_data, request.rpc.vm, answer->instance);
 	else
-		grants->ops->denied(grants->ctx, request.rpc.owner, request.shard, request.beyond);
+		grants->ops->denied(
+			grants->ctx, request.rpc.user_data, request.shard, request.queue_limit);
 }
 
 static void
-send_answer(struct comet_grants *grants, uint32_t asker, uint64_t number, uint32_t instance_key,
+send_answer(struct comet_grants *grants, uint32_t requester, uint64_t number, uint32_t instance_key,
 	const struct comet_placement_wait_estimate *wait)
 {
 	comet_Datagram datagram = {
@@ -191,23 +193,23 @@
 			},
 	};
 
-	send_datagram(grants, asker, &datagram);
+	send_datagram(grants, requester, &datagram);
 }
 
 void
 comet_grants_grant(
-	struct comet_grants *grants, uint32_t asker, uint64_t number, uint32_t instance_key)
+	struct comet_grants *grants, uint32_t requester, uint64_t number, uint32_t instance_key)
 {
 	static const struct comet_placement_wait_estimate no_wait = {0};
 
-	send_answer(grants, asker, number, instance_key, &no_wait);
+	send_answer(grants, requester, number, instance_key, &no_wait);
 }
 
 static void
 handle_slot_request(struct comet_grants *grants, const comet_SlotAsk *request)
 {
 	struct comet_placement_wait_estimate wait = {0};
-	uint32_t instance_key = grants->ops->choose(grants->ctx, request, &wait);
+	uint32_t instance_key = grants->ops->pick(grants->ctx, request, &wait);
 
 	send_answer(grants, request->asker, request->number, instance_key, &wait);
 }
@@ -224,7 +226,7 @@
 		handle_answer(grants, &datagram->body.answer);
 		break;
 	case comet_Datagram_freed_tag:
-		grants->ops->freed(grants->ctx, &datagram->body.freed);
+		grants->ops->remote_release(grants->ctx, &datagram->body.freed);
 		break;
 	default:
 		break; /* other modules handle the other kinds of datagram */
@@ -239,11 +241,11 @@
 {
 	if (request->queued)
 	{
-		grants->ops->waited(grants->ctx, request->rpc.owner);
+		grants->ops->wait_expired(grants->ctx, request->rpc.user_data);
 		return;
 	}
 	comet_pending_rpcs_mark_unresponsive(grants->rpcs, request->rpc.vm, now_us);
-	grants->ops->unanswered(grants->ctx, request->rpc.owner, request->rpc.vm);
+	grants->ops->unanswered(grants->ctx, request->rpc.user_data, request->rpc.vm);
 }
 
 bool
@@ -261,7 +263,7 @@
 }
 
 bool
-comet_grants_is_unresponsive(const struct comet_grants *grants, uint32_t keeper, uint64_t now_us)
+comet_grants_is_unresponsive(const struct comet_grants *grants, uint32_t owner_vm, uint64_t now_us)
 {
-	return comet_pending_rpcs_is_unresponsive(grants->rpcs, keeper, now_us);
+	return comet_pending_rpcs_is_unresponsive(grants->rpcs, owner_vm, now_us);
 }
--- a/libcometspindle/gateway/placement/grants.h
+++ b/libcometspindle/gateway/placement/grants.h
@@ -24,28 +24,28 @@
 {
 	void (*send)(void *ctx, uint32_t address, const uint8_t *data, size_t length);
 	/** Requesting VM: the owner granted a slot at an instance. */
-	void (*granted)(void *ctx, struct comet_placement_item *item, uint32_t keeper,
+	void (*granted)(void *ctx, struct comet_placement_item *item, uint32_t owner_vm,
 		uint32_t instance_key);
 	/** Requesting VM: no endpoint of the shard has capacity with this queue limit. */
 	void (*denied)(
-		void *ctx, struct comet_placement_item *item, uint32_t shard, uint32_t beyond);
+		void *ctx, struct comet_placement_item *item, uint32_t shard, uint32_t queue_limit);
 	/** Requesting VM: the request waits at the owner, which expects the wait to take
 	 * expected_us. */
-	void (*waits)(void *ctx, struct comet_placement_item *item, uint64_t expected_us);
+	void (*expected_wait)(void *ctx, struct comet_placement_item *item, uint64_t expected_us);
 	/** Requesting VM: the request has waited at the owner for its maximum time without a
 	 * grant. */
-	void (*waited)(void *ctx, struct comet_placement_item *item);
+	void (*wait_expired)(void *ctx, struct comet_placement_item *item);
 	/** Requesting VM: the owner did not answer in time. */
-	void (*unanswered)(void *ctx, struct comet_placement_item *item, uint32_t keeper);
+	void (*unanswered)(void *ctx, struct comet_placement_item *item, uint32_t owner_vm);
 	/**
 	 * Owner: selects an instance for the slot request of another VM.
 	 * @return the key of the instance; 0 when none has capacity, and then *wait says whether
 	 * the request waits here.
 	 */
-	uint32_t (*choose)(void *ctx, const comet_SlotAsk *request,
+	uint32_t (*pick)(void *ctx, const comet_SlotAsk *request,
 		struct comet_placement_wait_estimate *wait);
 	/** Owner: another VM has released a slot that it had been granted. */
-	void (*freed)(void *ctx, const comet_SlotFreed *freed);
+	void (*remote_release)(void *ctx, const comet_SlotFreed *freed);
 };
 
 struct comet_grants;
@@ -55,12 +55,12 @@
 comet_grants_create(void *parent, uint32_t address, const struct comet_grants_ops *ops, void *ctx);
 
 /**
- * Requests a slot from the owner of a shard. Exactly one of granted, denied, waited and unanswered
- * is called at the end, or none after comet_grants_cancel().
+ * Requests a slot from the owner of a shard. Exactly one of granted, denied, wait_expired and
+ * unanswered is called at the end, or none after comet_grants_cancel().
  */
 void
 comet_grants_request(struct comet_grants *grants, struct comet_placement_item *item,
-	uint32_t keeper, const struct comet_slot_request *request, uint64_t now_us);
+	uint32_t owner_vm, const struct comet_slot_request *request, uint64_t now_us);
 
 /** Cancels the slot request of an item. A grant that still arrives for it is released. */
 void
@@ -82,7 +82,7 @@
  * @param completion NULL when the request was not dispatched to the endpoint
  */
 void
-comet_grants_release(struct comet_grants *grants, uint32_t keeper, uint32_t instance_key,
+comet_grants_release(struct comet_grants *grants, uint32_t owner_vm, uint32_t instance_key,
 	const struct comet_grants_completion *completion);
 
 /** @return the dispatch result for a result that another VM reported to this owner. */
@@ -92,7 +92,7 @@
 /** Owner: grants a slot to a remote waiter. */
 void
 comet_grants_grant(
-	struct comet_grants *grants, uint32_t asker, uint64_t number, uint32_t instance_key);
+	struct comet_grants *grants, uint32_t requester, uint64_t number, uint32_t instance_key);
 
 /** Handles a received slot request, answer or release; other datagrams are ignored. */
 void
@@ -104,6 +104,6 @@
 
 /** @return whether a VM recently left a slot request unanswered. */
 bool
-comet_grants_is_unresponsive(const struct comet_grants *grants, uint32_t keeper, uint64_t now_us);
+comet_grants_is_unresponsive(const struct comet_grants *grants, uint32_t owner_vm, uint64_t now_us);
 
 #endif
--- a/libcometspindle/gateway/placement/placement.c
+++ b/libcometspindle/gateway/placement/placement.c
@@ -58,8 +58,8 @@
 
 	placement->instances = instances;
 	placement->shards = comet_shards_create(placement, instances);
-	comet_random_init(&placement->choice.rng, seed);
-	placement->choice.seed = (uint32_t)seed;
+	comet_random_init(&placement->picker.rng, seed);
+	placement->picker.seed = (uint32_t)seed;
 	comet_placement_set_vms(placement, 1, 1);
 	placement->ops = ops;
 	placement->ctx = ctx;
@@ -71,9 +71,9 @@
 /* A VM that receives gossip from few others may be the owner on the smaller side of a network
  * partition. With this bound the shares of both sides add up to one at most. */
 void
-comet_placement_set_vms(struct comet_placement *placement, uint32_t heard, uint32_t known)
+comet_placement_set_vms(struct comet_placement *placement, uint32_t alive, uint32_t known)
 {
-	placement->owner_share = MIN(SLOW_START_OWNER_SHARE, (double)heard / known);
+	placement->owner_share = MIN(SLOW_START_OWNER_SHARE, (double)alive / known);
 	placement->ownerless_share = SLOW_START_OWNERLESS_SHARE / known;
 }
 
@@ -81,7 +81,7 @@
 static uint32_t
 with_jitter(struct comet_placement *placement, double wait_ms)
 {
-	double jitter = 1 + RETRY_JITTER * (2 * comet_random_double(&placement->choice.rng) - 1);
+	double jitter = 1 + RETRY_JITTER * (2 * comet_random_double(&placement->picker.rng) - 1);
 
 	return (uint32_t)(wait_ms * jitter);
 }
@@ -101,7 +101,7 @@
 }
 
 bool
-comet_placement_has_untried(
+comet_placement_has_unattempted(
 	const struct comet_placement *placement, const struct comet_placement_item *item)
 {
 	const GPtrArray *all = comet_instances_for_service(placement->instances, item->service);
@@ -115,10 +115,10 @@
 	return false;
 }
 
-/* Dispatches the item. keeper: the VM that granted the slot, or 0. */
+/* Dispatches the item. owner_vm: the VM that granted the slot, or 0. */
 static void
 dispatch_to_slot(struct comet_placement *placement, struct comet_placement_item *item,
-	struct comet_instance *instance, uint32_t keeper, uint64_t now_us)
+	struct comet_instance *instance, uint32_t owner_vm, uint64_t now_us)
 {
 	if (item->was_queued)
 		comet_dequeue_rate_dispatched(
@@ -127,9 +127,9 @@
 			now_us);
 	item->was_queued = false;
 	comet_instance_selected(instance, now_us);
-	item->keeper = keeper;
-	if (item->n_tried < COMET_PLACEMENT_TRIED_MAX)
-		item->tried[item->n_tried++] = instance->key;
+	item->owner_vm = owner_vm;
+	if (item->n_attempted < COMET_PLACEMENT_ATTEMPTED_MAX)
+		item->attempted[item->n_attempted++] = instance->key;
 	placement->ops->dispatch(placement->ctx, item, instance);
 }
 
@@ -143,7 +143,7 @@
 static void
 end_slot_request(struct comet_placement *placement, struct comet_placement_item *item)
 {
-	item->asking = false;
+	item->slot_requested = false;
 	placement->n_slot_requests--;
 }
 
@@ -151,10 +151,10 @@
 static void
 cancel_slot_request(struct comet_placement *placement, struct comet_placement_item *item)
 {
-	if (!item->asking)
+	if (!item->slot_requested)
 		return;
 	end_slot_request(placement, item);
-	placement->ops->forget(placement->ctx, item);
+	placement->ops->cancel_slot_request(placement->ctx, item);
 }
 
 /* Moves requests that can no longer meet their soft deadline behind those of their rank that
@@ -227,13 +227,13 @@
 serve_item(struct comet_placement *placement, struct comet_placement_item *item, uint64_t now_us)
 {
 	bool may_request_slot =
-		!item->asking && placement->n_slot_requests < QUEUED_SLOT_REQUESTS_MAX;
+		!item->slot_requested && placement->n_slot_requests < QUEUED_SLOT_REQUESTS_MAX;
 	struct comet_instance *instance =
 		may_request_slot ? comet_placement_find(placement, item, now_us)
 				 : comet_placement_find_local(placement, item, now_us);
 
 	if (instance == NULL)
-		return item->asking || item->deferred || item->n_tried > 0;
+		return item->slot_requested || item->deferred || item->n_attempted > 0;
 	cancel_slot_request(placement, item);
 	comet_placement_dequeue(placement, item);
 	dispatch(placement, item, instance, now_us);
@@ -328,12 +328,13 @@
 	}
 	bool must_refuse = now_us + wait_us > item->dispatch_deadline_us;
 
-	if (!comet_placement_has_untried(placement, item))
+	if (!comet_placement_has_unattempted(placement, item))
 	{
 		/* No endpoint accepts the item at present. A short wait is worthwhile unless an
 		 * endpoint has already been tried. */
-		item->dispatch_deadline_us = MIN(item->dispatch_deadline_us, item->early_us);
-		must_refuse = item->n_tried > 0 || item->dispatch_deadline_us <= now_us;
+		item->dispatch_deadline_us =
+			MIN(item->dispatch_deadline_us, item->early_refusal_us);
+		must_refuse = item->n_attempted > 0 || item->dispatch_deadline_us <= now_us;
 	}
 	if (must_refuse)
 		placement->ops->refuse(placement->ctx, item, retry_after_ms(placement, wait_us));
@@ -350,7 +351,7 @@
 
 	if (instance != NULL)
 		dispatch(placement, item, instance, now_us);
-	else if (!item->asking && enqueue_or_refuse(placement, item, now_us))
+	else if (!item->slot_requested && enqueue_or_refuse(placement, item, now_us))
 		comet_placement_run(placement, now_us);
 }
 
@@ -363,7 +364,7 @@
 	item->submitted_us = now_us;
 	item->sequence = placement->next_sequence++;
 	item->queue_position = NULL;
-	item->asking = false;
+	item->slot_requested = false;
 	item->was_queued = false;
 	item->late = false;
 	item->deferred = false;
@@ -375,12 +376,12 @@
 
 bool
 comet_placement_granted(struct comet_placement *placement, struct comet_placement_item *item,
-	uint32_t keeper, uint32_t instance_key, uint64_t now_us)
+	uint32_t owner_vm, uint32_t instance_key, uint64_t now_us)
 {
 	struct comet_instance *instance =
 		comet_instances_find_key(placement->instances, instance_key);
 
-	if (!item->asking)
+	if (!item->slot_requested)
 		return false; /* already dispatched; a second slot is not needed */
 	end_slot_request(placement, item);
 	if (item->queue_position != NULL)
@@ -391,7 +392,7 @@
 		/* The endpoint lists of the VMs differ, more endpoints are ejected than a slot
 		 * request can exclude, or the answer is not from an owner. The service is compared
 		 * because a request must never be sent to another service. */
-		instance = comet_placement_choose_by_gossip(placement, item, now_us);
+		instance = comet_placement_pick_by_gossip(placement, item, now_us);
 		if (instance != NULL)
 			dispatch(placement, item, instance, now_us);
 		else if (enqueue_or_refuse(placement, item, now_us))
@@ -402,9 +403,9 @@
 	placement->decision.load = comet_instance_load(instance, now_us);
 	placement->decision.slots = instance->slots;
 	placement->decision.waited_us = now_us - item->submitted_us;
-	comet_instance_estimate(instance, &item->job, now_us, &placement->decision.first_us,
+	comet_instance_estimate(instance, &item->size, now_us, &placement->decision.first_us,
 		&placement->decision.total_us);
-	dispatch_to_slot(placement, item, instance, keeper, now_us);
+	dispatch_to_slot(placement, item, instance, owner_vm, now_us);
 	return true;
 }
 
@@ -420,13 +421,14 @@
 
 void
 comet_placement_denied(struct comet_placement *placement, struct comet_placement_item *item,
-	uint32_t shard_id, uint32_t beyond, uint64_t now_us)
+	uint32_t shard_id, uint32_t queue_limit, uint64_t now_us)
 {
 	struct comet_shard *shard = comet_shards_find(placement->shards, shard_id);
-	double jitter = 0.5 + comet_random_double(&placement->choice.rng);
+	double jitter = 0.5 + comet_random_double(&placement->picker.rng);
 
 	if (shard != NULL)
-		comet_shard_denied(shard, beyond, now_us + (uint64_t)(DENIED_BACKOFF_US * jitter));
+		comet_shard_denied(
+			shard, queue_limit, now_us + (uint64_t)(DENIED_BACKOFF_US * jitter));
 	retry_placement(placement, item, now_us);
 }
 
@@ -444,7 +446,7 @@
 comet_placement_set_expected_wait(struct comet_placement *placement,
 	struct comet_placement_item *item, uint64_t expected_us, uint64_t now_us)
 {
-	if (!item->asking || item->queue_position == NULL ||
+	if (!item->slot_requested || item->queue_position == NULL ||
 		now_us + expected_us <= item->dispatch_deadline_us)
 		return;
 	comet_placement_dequeue(placement, item);
@@ -478,7 +480,7 @@
 }
 
 struct comet_instance *
-comet_placement_choose_remote(struct comet_placement *placement,
+comet_placement_pick_remote(struct comet_placement *placement,
 	const struct comet_slot_request *request, uint64_t now_us,
 	struct comet_placement_wait_estimate *wait)
 {
--- a/libcometspindle/gateway/placement/placement.h
+++ b/libcometspindle/gateway/placement/placement.h
@@ -29,7 +29,7 @@
  * one. The VMs share the capacity of endpoints in slow start.
  */
 void
-comet_placement_set_vms(struct comet_placement *placement, uint32_t heard, uint32_t known);
+comet_placement_set_vms(struct comet_placement *placement, uint32_t alive, uint32_t known);
 
 /** Submits a request. It is dispatched or refused later, or before this call returns. */
 void
@@ -52,12 +52,12 @@
  */
 bool
 comet_placement_granted(struct comet_placement *placement, struct comet_placement_item *item,
-	uint32_t keeper, uint32_t instance_key, uint64_t now_us) G_GNUC_WARN_UNUSED_RESULT;
+	uint32_t owner_vm, uint32_t instance_key, uint64_t now_us) G_GNUC_WARN_UNUSED_RESULT;
 
 /** Handles the denial of a slot request: no endpoint of the shard has capacity at that level. */
 void
 comet_placement_denied(struct comet_placement *placement, struct comet_placement_item *item,
-	uint32_t shard, uint32_t beyond, uint64_t now_us);
+	uint32_t shard, uint32_t queue_limit, uint64_t now_us);
 
 /** Handles the reply that the request waits at the owner, with the expected wait. */
 void
@@ -84,13 +84,13 @@
  * @return the instance, or NULL if none has capacity; wait says whether the request now waits here
  */
 struct comet_instance *
-comet_placement_choose_remote(struct comet_placement *placement,
+comet_placement_pick_remote(struct comet_placement *placement,
 	const struct comet_slot_request *request, uint64_t now_us,
 	struct comet_placement_wait_estimate *wait);
 
 /** @return whether the service has an instance that the item has not been sent to. */
 bool
-comet_placement_has_untried(
+comet_placement_has_unattempted(
 	const struct comet_placement *placement, const struct comet_placement_item *item);
 
 /** @return whether all endpoints of the item's service are in evacuated availability zones. */
--- a/libcometspindle/gateway/placement/placement_find.c
+++ b/libcometspindle/gateway/placement/placement_find.c
@@ -6,17 +6,17 @@
 #include <libcometspindle/gateway/placement/placement_state.h>
 
 struct comet_instance *
-comet_placement_choose_by_gossip(
+comet_placement_pick_by_gossip(
 	struct comet_placement *placement, const struct comet_placement_item *item, uint64_t now_us)
 {
 	struct comet_endpoint_picker_scope scope = {
 		.instances = comet_instances_for_service(placement->instances, item->service),
-		.beyond = comet_endpoint_picker_queue_limit(item),
+		.queue_limit = comet_endpoint_picker_queue_limit(item),
 		.slow_start_share = placement->ownerless_share,
 	};
 
 	return comet_endpoint_picker_pick(
-		&placement->choice, item, &scope, now_us, &placement->decision);
+		&placement->picker, item, &scope, now_us, &placement->decision);
 }
 
 /* Time that a request waits at one owner before it moves on to another. Several slots become free
@@ -28,18 +28,18 @@
  * the request may wait there. */
 static void
 request_slot(struct comet_placement *placement, struct comet_placement_item *item,
-	struct comet_shard *shard, uint32_t beyond, uint64_t wait_us, uint64_t now_us)
+	struct comet_shard *shard, uint32_t queue_limit, uint64_t wait_us, uint64_t now_us)
 {
-	uint32_t excluded[COMET_SLOT_REQUEST_EXCEPT_MAX];
+	uint32_t excluded[COMET_SLOT_REQUEST_EXCLUDED_MAX];
 	struct comet_slot_request request = {
 		.shard = shard->id,
-		.beyond = beyond,
-		.except = excluded,
-		.job = item->job,
+		.queue_limit = queue_limit,
+		.excluded = excluded,
+		.size = item->size,
 		.team_rank = item->team_rank,
 		.route_rank = item->route_rank,
 		.late = item->late,
-		.end_us = item->end_us,
+		.answer_deadline_us = item->answer_deadline_us,
 		.soft_deadline_us = item->soft_deadline_us,
 		.wait_us = wait_us,
 	};
@@ -50,30 +50,30 @@
 		const struct comet_instance *instance = shard->members->pdata[i];
 		if (comet_endpoint_picker_is_usable(item, instance, now_us))
 			usable++;
-		else if (request.n_except < G_N_ELEMENTS(excluded))
-			excluded[request.n_except++] = instance->key;
+		else if (request.n_excluded < G_N_ELEMENTS(excluded))
+			excluded[request.n_excluded++] = instance->key;
 	}
 	if (usable == 0)
 		return;
-	item->asking = true;
+	item->slot_requested = true;
 	placement->n_slot_requests++;
-	placement->ops->ask(placement->ctx, item, shard, &request);
+	placement->ops->request_slot(placement->ctx, item, shard, &request);
 }
 
 /* Estimates for placing one item in a shard. */
 struct shard_candidate
 {
 	struct comet_shard *shard;
-	enum comet_placement_owner keeper;
+	enum comet_placement_owner owner;
 	struct comet_instance *best; /* as far as this VM knows; NULL: none has capacity */
 	struct comet_placement_decision decision;
 };
 
 /* The share of the slow start capacity of the endpoints of a shard that this VM may use. */
 static double
-slow_start_share_of(const struct comet_placement *placement, enum comet_placement_owner keeper)
+slow_start_share_of(const struct comet_placement *placement, enum comet_placement_owner owner)
 {
-	switch (keeper)
+	switch (owner)
 	{
 	case COMET_PLACEMENT_OWNER_SELF:
 		return placement->owner_share;
@@ -87,21 +87,21 @@
 
 static struct shard_candidate
 evaluate_shard(struct comet_placement *placement, const struct comet_placement_item *item,
-	struct comet_shard *shard, uint32_t beyond, uint64_t now_us)
+	struct comet_shard *shard, uint32_t queue_limit, uint64_t now_us)
 {
 	struct shard_candidate candidate = {
 		.shard = shard,
-		.keeper = placement->ops->keeper(placement->ctx, shard),
+		.owner = placement->ops->find_owner(placement->ctx, shard),
 	};
 	struct comet_endpoint_picker_scope scope = {
 		.instances = shard->members,
-		.beyond = beyond,
-		.kept = candidate.keeper == COMET_PLACEMENT_OWNER_SELF,
-		.slow_start_share = slow_start_share_of(placement, candidate.keeper),
+		.queue_limit = queue_limit,
+		.owned = candidate.owner == COMET_PLACEMENT_OWNER_SELF,
+		.slow_start_share = slow_start_share_of(placement, candidate.owner),
 	};
 
 	candidate.best = comet_endpoint_picker_pick(
-		&placement->choice, item, &scope, now_us, &candidate.decision);
+		&placement->picker, item, &scope, now_us, &candidate.decision);
 	return candidate;
 }
 
@@ -109,11 +109,11 @@
  * comet_placement_find() */
 static struct comet_instance *
 take_or_request_slot(struct comet_placement *placement, struct comet_placement_item *item,
-	const struct shard_candidate *candidate, uint32_t beyond, uint64_t now_us)
+	const struct shard_candidate *candidate, uint32_t queue_limit, uint64_t now_us)
 {
-	if (candidate->keeper == COMET_PLACEMENT_OWNER_OTHER)
+	if (candidate->owner == COMET_PLACEMENT_OWNER_OTHER)
 	{
-		request_slot(placement, item, candidate->shard, beyond, 0, now_us);
+		request_slot(placement, item, candidate->shard, queue_limit, 0, now_us);
 		return NULL;
 	}
 	placement->decision = candidate->decision;
@@ -125,25 +125,25 @@
  * that need a slot request. */
 static struct comet_instance *
 find_at_level(struct comet_placement *placement, struct comet_placement_item *item,
-	const GPtrArray *shards, uint32_t beyond, bool local_only, uint64_t now_us)
+	const GPtrArray *shards, uint32_t queue_limit, bool local_only, uint64_t now_us)
 {
-	uint32_t offset = comet_random_u32(&placement->choice.rng);
+	uint32_t offset = comet_random_u32(&placement->picker.rng);
 	struct shard_candidate cheapest = {0};
 	struct shard_candidate full = {0};
 
 	for (guint i = 0; i < shards->len; i++)
 	{
 		struct comet_shard *shard = shards->pdata[(i + offset) % shards->len];
-		if (now_us < shard->denied_us[beyond])
+		if (now_us < shard->denied_us[queue_limit])
 			continue;
 		struct shard_candidate candidate =
-			evaluate_shard(placement, item, shard, beyond, now_us);
-		if (local_only && candidate.keeper == COMET_PLACEMENT_OWNER_OTHER)
+			evaluate_shard(placement, item, shard, queue_limit, now_us);
+		if (local_only && candidate.owner == COMET_PLACEMENT_OWNER_OTHER)
 			continue;
 		if (candidate.best == NULL)
 		{
 			item->deferred = item->deferred || candidate.decision.deferred;
-			if (candidate.keeper == COMET_PLACEMENT_OWNER_OTHER &&
+			if (candidate.owner == COMET_PLACEMENT_OWNER_OTHER &&
 				candidate.decision.candidates > 0)
 				full = candidate;
 			continue;
@@ -152,9 +152,10 @@
 			cheapest = candidate;
 	}
 	if (cheapest.best != NULL)
-		return take_or_request_slot(placement, item, &cheapest, beyond, now_us);
-	return full.shard != NULL ? take_or_request_slot(placement, item, &full, beyond, now_us)
-				  : NULL;
+		return take_or_request_slot(placement, item, &cheapest, queue_limit, now_us);
+	return full.shard != NULL
+		       ? take_or_request_slot(placement, item, &full, queue_limit, now_us)
+		       : NULL;
 }
 
 /* Sends a slot request with a wait time to one of the owners. */
@@ -162,12 +163,13 @@
 wait_at_owner(struct comet_placement *placement, struct comet_placement_item *item,
 	const GPtrArray *shards, uint64_t now_us)
 {
-	uint32_t offset = comet_random_u32(&placement->choice.rng);
+	uint32_t offset = comet_random_u32(&placement->picker.rng);
 
-	for (guint i = 0; i < shards->len && !item->asking; i++)
+	for (guint i = 0; i < shards->len && !item->slot_requested; i++)
 	{
 		struct comet_shard *shard = shards->pdata[(i + offset) % shards->len];
-		if (placement->ops->keeper(placement->ctx, shard) == COMET_PLACEMENT_OWNER_OTHER)
+		if (placement->ops->find_owner(placement->ctx, shard) ==
+			COMET_PLACEMENT_OWNER_OTHER)
 			request_slot(placement, item, shard,
 				comet_endpoint_picker_queue_limit(item), OWNER_WAIT_US, now_us);
 	}
@@ -178,7 +180,7 @@
 static const GPtrArray *
 shards_for(struct comet_placement *placement, const struct comet_placement_item *item)
 {
-	if (placement->ops->keeper == NULL)
+	if (placement->ops->find_owner == NULL)
 		return NULL;
 	return comet_shards_for_service(placement->shards, item->service);
 }
@@ -193,15 +195,16 @@
 	item->deferred = false;
 	if (shards == NULL)
 	{
-		instance = comet_placement_choose_by_gossip(placement, item, now_us);
+		instance = comet_placement_pick_by_gossip(placement, item, now_us);
 		item->deferred = placement->decision.deferred;
 		return instance;
 	}
-	for (uint32_t beyond = 0; beyond <= comet_endpoint_picker_queue_limit(item); beyond++)
+	for (uint32_t queue_limit = 0; queue_limit <= comet_endpoint_picker_queue_limit(item);
+		queue_limit++)
 	{
-		bool was_asking = item->asking;
-		instance = find_at_level(placement, item, shards, beyond, local_only, now_us);
-		if (instance != NULL || item->asking != was_asking)
+		bool was_requested = item->slot_requested;
+		instance = find_at_level(placement, item, shards, queue_limit, local_only, now_us);
+		if (instance != NULL || item->slot_requested != was_requested)
 			return instance;
 	}
 	return NULL;
@@ -214,7 +217,8 @@
 	struct comet_instance *instance = find_slot(placement, item, false, now_us);
 	const GPtrArray *shards = shards_for(placement, item);
 
-	if (instance == NULL && !item->asking && item->queue_position != NULL && shards != NULL)
+	if (instance == NULL && !item->slot_requested && item->queue_position != NULL &&
+		shards != NULL)
 		wait_at_owner(placement, item, shards, now_us);
 	return instance;
 }
--- a/libcometspindle/gateway/placement/placement_queue.c
+++ b/libcometspindle/gateway/placement/placement_queue.c
@@ -124,8 +124,8 @@
 		if (instance->draining || instance->evacuated || instance->replaced ||
 			instance->ejected_until_us > now_us)
 			continue;
-		slots_per_us += instance->slots / (typical_us * instance->pace);
-		local_load += instance->own;
+		slots_per_us += instance->slots / (typical_us * instance->relative_latency);
+		local_load += instance->local_requests;
 		load += comet_instance_load(instance, now_us);
 	}
 	if (slots_per_us == 0)
@@ -155,7 +155,7 @@
 	const struct comet_placement_item *item, uint64_t wait_us, uint64_t now_us)
 {
 	uint64_t first_us =
-		comet_instances_typical_first_us(placement->instances, item->service, &item->job);
+		comet_instances_typical_first_us(placement->instances, item->service, &item->size);
 
 	return item->soft_deadline_us != 0 && now_us + wait_us + first_us > item->soft_deadline_us;
 }
--- a/libcometspindle/gateway/placement/placement_remote_waiters.c
+++ b/libcometspindle/gateway/placement/placement_remote_waiters.c
@@ -23,19 +23,19 @@
 static struct comet_instance *
 pick_at_level(struct comet_placement *placement,
 	const struct comet_placement_remote_waiter *remote_waiter, const struct comet_shard *shard,
-	uint32_t beyond, uint64_t now_us, bool *deferred)
+	uint32_t queue_limit, uint64_t now_us, bool *deferred)
 {
 	struct comet_placement_decision decision;
 	struct comet_endpoint_picker_scope scope = {
 		.instances = shard->members,
-		.beyond = beyond,
-		.kept = true,
+		.queue_limit = queue_limit,
+		.owned = true,
 		.slow_start_share = placement->owner_share,
 		.excluded = remote_waiter->excluded,
-		.n_excluded = (uint32_t)remote_waiter->request.n_except,
+		.n_excluded = (uint32_t)remote_waiter->request.n_excluded,
 	};
 	struct comet_instance *best = comet_endpoint_picker_pick(
-		&placement->choice, &remote_waiter->item, &scope, now_us, &decision);
+		&placement->picker, &remote_waiter->item, &scope, now_us, &decision);
 
 	*deferred = decision.deferred;
 	return best;
@@ -49,22 +49,23 @@
 {
 	struct comet_shard *shard =
 		comet_shards_find(placement->shards, remote_waiter->request.shard);
-	uint32_t max_beyond = MIN(remote_waiter->request.beyond, COMET_SHARD_LEVELS - 1);
+	uint32_t max_queue_limit = MIN(remote_waiter->request.queue_limit, COMET_SHARD_LEVELS - 1);
 
-	for (uint32_t beyond = 0; shard != NULL && beyond <= max_beyond; beyond++)
+	for (uint32_t queue_limit = 0; shard != NULL && queue_limit <= max_queue_limit;
+		queue_limit++)
 	{
 		bool deferred = false;
-		if (shard->full_pass[beyond] == placement->pass)
+		if (shard->full_pass[queue_limit] == placement->pass)
 			continue;
-		struct comet_instance *best =
-			pick_at_level(placement, remote_waiter, shard, beyond, now_us, &deferred);
+		struct comet_instance *best = pick_at_level(
+			placement, remote_waiter, shard, queue_limit, now_us, &deferred);
 		if (best != NULL)
 		{
 			comet_instance_selected(best, now_us);
 			return best;
 		}
-		if (!deferred && remote_waiter->request.n_except == 0)
-			shard->full_pass[beyond] = placement->pass;
+		if (!deferred && remote_waiter->request.n_excluded == 0)
+			shard->full_pass[queue_limit] = placement->pass;
 	}
 	return NULL;
 }
@@ -76,18 +77,18 @@
 {
 	struct comet_placement_remote_waiter *remote_waiter =
 		g_new0(struct comet_placement_remote_waiter, 1);
-	size_t n_except = MIN(request->n_except, G_N_ELEMENTS(remote_waiter->excluded));
+	size_t n_excluded = MIN(request->n_excluded, G_N_ELEMENTS(remote_waiter->excluded));
 
 	remote_waiter->request = *request;
-	remote_waiter->request.n_except = n_except;
-	if (n_except > 0)
-		memcpy(remote_waiter->excluded, request->except,
-			n_except * sizeof remote_waiter->excluded[0]);
-	remote_waiter->request.except = remote_waiter->excluded;
-	remote_waiter->item.job = request->job;
+	remote_waiter->request.n_excluded = n_excluded;
+	if (n_excluded > 0)
+		memcpy(remote_waiter->excluded, request->excluded,
+			n_excluded * sizeof remote_waiter->excluded[0]);
+	remote_waiter->request.excluded = remote_waiter->excluded;
+	remote_waiter->item.size = request->size;
 	remote_waiter->item.team_rank = request->team_rank;
 	remote_waiter->item.route_rank = request->route_rank;
-	remote_waiter->item.end_us = request->end_us;
+	remote_waiter->item.answer_deadline_us = request->answer_deadline_us;
 	remote_waiter->item.soft_deadline_us = request->soft_deadline_us;
 	remote_waiter->item.late = request->late;
 	remote_waiter->item.dispatch_deadline_us =
@@ -174,7 +175,7 @@
 	struct comet_placement_remote_waiter *copy =
 		g_memdup2(remote_waiter, sizeof *remote_waiter);
 
-	copy->request.except = copy->excluded;
+	copy->request.excluded = copy->excluded;
 	copy->item.late = true;
 	g_sequence_remove(remote_waiter->item.queue_position);
 	copy->item.queue_position = g_sequence_insert_sorted(
--- a/libcometspindle/gateway/placement/placement_state.h
+++ b/libcometspindle/gateway/placement/placement_state.h
@@ -31,14 +31,14 @@
 {
 	struct comet_placement_item item; /**< first member: remote waiters are compared as items */
 	struct comet_slot_request request;
-	uint32_t excluded[COMET_SLOT_REQUEST_EXCEPT_MAX]; /**< storage of request.except */
+	uint32_t excluded[COMET_SLOT_REQUEST_EXCLUDED_MAX]; /**< storage of request.excluded */
 };
 
 struct comet_placement
 {
 	struct comet_instances *instances;
 	struct comet_shards *shards;
-	struct comet_endpoint_picker choice;
+	struct comet_endpoint_picker picker;
 	/* Shares of the slow start capacity of an endpoint: if this VM owns its shard, and if the
 	 * shard has no owner that responds. */
 	double owner_share;
@@ -95,7 +95,7 @@
 
 /** Picks among all instances of the service by gossip. */
 struct comet_instance *
-comet_placement_choose_by_gossip(struct comet_placement *placement,
+comet_placement_pick_by_gossip(struct comet_placement *placement,
 	const struct comet_placement_item *item, uint64_t now_us);
 
 /**
--- a/libcometspindle/gateway/placement/shards.c
+++ b/libcometspindle/gateway/placement/shards.c
@@ -91,7 +91,7 @@
 	struct comet_shards *shards, const struct comet_instance *instance, uint32_t in_group)
 {
 	uint32_t n_shards = (in_group + SHARD_ENDPOINTS_MAX - 1) / SHARD_ENDPOINTS_MAX;
-	uint32_t names[] = {group_hash(instance), n_shards, instance->place % n_shards};
+	uint32_t names[] = {group_hash(instance), n_shards, instance->id_hash % n_shards};
 	uint32_t id = (uint32_t)comet_hash_bytes(names, sizeof names, 0);
 	struct comet_shard *shard = lookup(shards, id);
 
@@ -145,7 +145,7 @@
 static void
 refresh(struct comet_shards *shards)
 {
-	uint64_t changes = comet_instances_changes(shards->instances);
+	uint64_t changes = comet_instances_change_count(shards->instances);
 	GHashTableIter iter;
 	gpointer shard = NULL;
 
--- a/libcometspindle/gateway/placement/shards.h
+++ b/libcometspindle/gateway/placement/shards.h
@@ -25,7 +25,7 @@
 	uint32_t zone_id;   /**< comet_hash_name() of the availability zone */
 	GPtrArray *members; /**< entries are struct comet_instance */
 	/** Address of the owner as of owner_checked_us; 0 when there is none. */
-	uint32_t keeper;
+	uint32_t owner_vm;
 	uint64_t owner_checked_us;
 	/** By queue limit: the time until which the owner is taken to have no capacity; 0 when it
 	 * is not known to be full. */
--- a/libcometspindle/gateway/routing/routes.h
+++ b/libcometspindle/gateway/routing/routes.h
@@ -37,14 +37,14 @@
 	char *host;        /**< in lower case, without the port */
 	char *path_prefix; /**< begins and ends with a slash */
 	enum comet_route_kind kind;
-	bool resumable;      /**< an interrupted stream may be resumed at another endpoint */
-	bool open;           /**< needs no API key */
-	uint32_t timeout_ms; /**< longest time that a request is held; 0: no limit */
-	uint32_t aim_ms; /**< target for the time to the complete response, or to the first event of
-			    a stream */
-	uint32_t gap_ms; /**< target for the longest pause between events; 0: none */
-	uint32_t max_attempts; /**< maximum number of endpoints that one request is sent to */
-	uint32_t priority;     /**< 0 is the most urgent */
+	bool resumable;             /**< an interrupted stream may be resumed at another endpoint */
+	bool open;                  /**< needs no API key */
+	uint32_t timeout_ms;        /**< longest time that a request is held; 0: no limit */
+	uint32_t target_latency_ms; /**< target for the time to the complete response, or to the
+			    first event of a stream */
+	uint32_t target_gap_ms;     /**< target for the longest pause between events; 0: none */
+	uint32_t max_attempts;      /**< maximum number of endpoints that one request is sent to */
+	uint32_t priority;          /**< 0 is the most urgent */
 	struct comet_route_share *shares;
 	uint32_t n_shares;
 };
@@ -66,9 +66,9 @@
 struct comet_route_service
 {
 	char *name;
-	uint32_t cold_ms;  /**< duration of the slow start of its endpoints; 0: none */
-	double cold_per_s; /**< requests per second that an endpoint can serve during slow start; 0:
-			      unknown */
+	uint32_t slow_start_ms;  /**< duration of the slow start of its endpoints; 0: none */
+	double slow_start_per_s; /**< requests per second that an endpoint can serve during slow
+			      start; 0: unknown */
 };
 
 struct comet_route_table;
--- a/libcometspindle/load_shedding.c
+++ b/libcometspindle/load_shedding.c
@@ -12,28 +12,29 @@
 #define JOIN_PATIENCE_US 5000000ULL
 
 void
-comet_load_shedding_init(struct comet_load_shedding *floor, uint32_t n_tiers)
+comet_load_shedding_init(struct comet_load_shedding *load_shedding, uint32_t n_tiers)
 {
-	floor->n_tiers = n_tiers;
-	floor->keep_below = 1;
-	floor->keep_promised = 1;
-	floor->shed_from = n_tiers - 1; /* the lowest tier: nothing is below it */
-	floor->shed_promised = n_tiers - 1;
-	floor->want = n_tiers;
-	floor->announced_us = 0;
-	floor->pressure_us = 0;
-	floor->started_us = 0;
-	floor->joined = false;
+	load_shedding->n_tiers = n_tiers;
+	load_shedding->keep_below = 1;
+	load_shedding->keep_promised = 1;
+	load_shedding->shed_from = n_tiers - 1; /* the lowest tier: nothing is below it */
+	load_shedding->shed_promised = n_tiers - 1;
+	load_shedding->want = n_tiers;
+	load_shedding->announced_us = 0;
+	load_shedding->pressure_us = 0;
+	load_shedding->started_us = 0;
+	load_shedding->joined = false;
 }
 
 void
-comet_load_shedding_request(struct comet_load_shedding *floor, uint32_t tier, uint64_t now_us)
+comet_load_shedding_request(
+	struct comet_load_shedding *load_shedding, uint32_t tier, uint64_t now_us)
 {
 	uint32_t want = tier > 1 ? tier : 1; /* tier 0 is never asked to go */
 
-	if (want < floor->want)
-		floor->want = want;
-	floor->pressure_us = now_us;
+	if (want < load_shedding->want)
+		load_shedding->want = want;
+	load_shedding->pressure_us = now_us;
 }
 
 static bool
@@ -48,11 +49,11 @@
  * that is stale for hours would keep every new VM out.
  */
 static bool
-given_up(
-	const struct comet_load_shedding *floor, const struct comet_member *member, uint64_t now_us)
+given_up(const struct comet_load_shedding *load_shedding, const struct comet_member *member,
+	uint64_t now_us)
 {
-	return !floor->joined && member->promise_us == 0 &&
-	       now_us - floor->started_us > JOIN_PATIENCE_US;
+	return !load_shedding->joined && member->promise_us == 0 &&
+	       now_us - load_shedding->started_us > JOIN_PATIENCE_US;
 }
 
 /* What the promises of all others allow. */
@@ -65,20 +66,20 @@
 };
 
 static void
-look_at_others(const struct comet_load_shedding *floor, struct comet_member *const *members,
+look_at_others(const struct comet_load_shedding *load_shedding, struct comet_member *const *members,
 	size_t count, uint64_t now_us, struct others *others)
 {
 	others->keep_below_max = 0;
-	others->shed_from_min = floor->n_tiers - 1;
-	others->want_min = floor->n_tiers;
+	others->shed_from_min = load_shedding->n_tiers - 1;
+	others->want_min = load_shedding->n_tiers;
 	others->all_fresh = true;
 	for (size_t i = 0; i < count; i++)
 	{
 		const struct comet_member *member = members[i];
 		if (!promise_fresh(member, now_us))
 		{
-			others->keep_below_max = floor->n_tiers;
-			if (!given_up(floor, member, now_us))
+			others->keep_below_max = load_shedding->n_tiers;
+			if (!given_up(load_shedding, member, now_us))
 			{
 				others->shed_from_min = 0;
 				others->all_fresh = false;
@@ -95,107 +96,113 @@
 }
 
 static bool
-held(const struct comet_load_shedding *floor, uint64_t now_us)
+held(const struct comet_load_shedding *load_shedding, uint64_t now_us)
 {
-	return now_us - floor->announced_us >= COMET_LOAD_SHEDDING_PROMISE_US;
+	return now_us - load_shedding->announced_us >= COMET_LOAD_SHEDDING_PROMISE_US;
 }
 
 static void
-log_floor(const struct comet_load_shedding *floor)
+log_floor(const struct comet_load_shedding *load_shedding)
 {
 	comet_log(COMET_LOG_NOTICE, "event=floor keep_below=%u shed_from=%u want=%u",
-		floor->keep_below, floor->shed_from, floor->want);
+		load_shedding->keep_below, load_shedding->shed_from, load_shedding->want);
 }
 
 /* Keeping less is always allowed as far as this VM may shed. */
 static void
-lower_keep(struct comet_load_shedding *floor, uint32_t want)
+lower_keep(struct comet_load_shedding *load_shedding, uint32_t want)
 {
-	uint32_t target = want > floor->shed_from ? want : floor->shed_from;
+	uint32_t target = want > load_shedding->shed_from ? want : load_shedding->shed_from;
 
-	if (target >= floor->keep_below)
+	if (target >= load_shedding->keep_below)
 		return;
-	floor->keep_below = target;
-	floor->keep_promised = target;
-	log_floor(floor);
+	load_shedding->keep_below = target;
+	load_shedding->keep_promised = target;
+	log_floor(load_shedding);
 }
 
 static void
-lower_shed(struct comet_load_shedding *floor, uint32_t want, const struct others *others,
+lower_shed(struct comet_load_shedding *load_shedding, uint32_t want, const struct others *others,
 	uint64_t now_us)
 {
-	uint32_t next = floor->shed_from - 1;
+	uint32_t next = load_shedding->shed_from - 1;
 
-	if (floor->shed_from <= want || floor->shed_from == 1)
+	if (load_shedding->shed_from <= want || load_shedding->shed_from == 1)
 	{
-		floor->shed_promised = floor->shed_from;
+		load_shedding->shed_promised = load_shedding->shed_from;
 		return;
 	}
-	if (floor->keep_below > next + 1 || others->keep_below_max > next + 1)
+	if (load_shedding->keep_below > next + 1 || others->keep_below_max > next + 1)
 		return; /* somebody still keeps the tier below it */
-	if (floor->shed_promised != next)
+	if (load_shedding->shed_promised != next)
 	{
-		floor->shed_promised = next;
-		floor->announced_us = now_us;
+		load_shedding->shed_promised = next;
+		load_shedding->announced_us = now_us;
 		return;
 	}
-	if (!held(floor, now_us))
+	if (!held(load_shedding, now_us))
 		return;
-	floor->shed_from = next;
-	log_floor(floor);
+	load_shedding->shed_from = next;
+	log_floor(load_shedding);
 }
 
 /* Keeping more needs every other VM's word that it sheds nothing above what is kept. */
 static void
-raise_keep(struct comet_load_shedding *floor, const struct others *others, uint64_t now_us)
+raise_keep(struct comet_load_shedding *load_shedding, const struct others *others, uint64_t now_us)
 {
 	uint32_t target = others->shed_from_min + 1;
 
-	floor->shed_promised = floor->shed_from;
-	if (floor->keep_below == floor->n_tiers || target <= floor->keep_below)
+	load_shedding->shed_promised = load_shedding->shed_from;
+	if (load_shedding->keep_below == load_shedding->n_tiers ||
+		target <= load_shedding->keep_below)
 	{
 		/* as far up as the others are: whoever just started has caught up */
-		floor->joined =
-			floor->joined || floor->keep_below == floor->n_tiers || others->all_fresh;
+		load_shedding->joined = load_shedding->joined ||
+					load_shedding->keep_below == load_shedding->n_tiers ||
+					others->all_fresh;
 		return;
 	}
-	if (floor->keep_promised != target)
+	if (load_shedding->keep_promised != target)
 	{
-		floor->keep_promised = target;
-		floor->announced_us = now_us;
+		load_shedding->keep_promised = target;
+		load_shedding->announced_us = now_us;
 		return;
 	}
-	if (!held(floor, now_us))
+	if (!held(load_shedding, now_us))
 		return;
-	floor->keep_below = target;
+	load_shedding->keep_below = target;
 	/* what is not kept must be shed, so both move together */
-	if (floor->shed_from < target && floor->shed_from < floor->n_tiers - 1)
-		floor->shed_from = target < floor->n_tiers ? target : floor->n_tiers - 1;
-	floor->joined = true;
-	log_floor(floor);
+	if (load_shedding->shed_from < target &&
+		load_shedding->shed_from < load_shedding->n_tiers - 1)
+		load_shedding->shed_from =
+			target < load_shedding->n_tiers ? target : load_shedding->n_tiers - 1;
+	load_shedding->joined = true;
+	log_floor(load_shedding);
 }
 
 void
-comet_load_shedding_tick(struct comet_load_shedding *floor, struct comet_member *const *members,
-	size_t count, uint64_t now_us)
+comet_load_shedding_tick(struct comet_load_shedding *load_shedding,
+	struct comet_member *const *members, size_t count, uint64_t now_us)
 {
 	struct others others;
 
-	if (floor->started_us == 0)
-		floor->started_us = now_us;
-	if (floor->pressure_us != 0 && now_us - floor->pressure_us > RELAX_US)
+	if (load_shedding->started_us == 0)
+		load_shedding->started_us = now_us;
+	if (load_shedding->pressure_us != 0 && now_us - load_shedding->pressure_us > RELAX_US)
 	{
-		floor->want = floor->n_tiers;
-		floor->pressure_us = 0;
+		load_shedding->want = load_shedding->n_tiers;
+		load_shedding->pressure_us = 0;
 	}
-	look_at_others(floor, members, count, now_us, &others);
-	uint32_t want = floor->want < others.want_min ? floor->want : others.want_min;
-	if (want < floor->keep_below || (want < floor->n_tiers && want == floor->keep_below))
+	look_at_others(load_shedding, members, count, now_us, &others);
+	uint32_t want =
+		load_shedding->want < others.want_min ? load_shedding->want : others.want_min;
+	if (want < load_shedding->keep_below ||
+		(want < load_shedding->n_tiers && want == load_shedding->keep_below))
 	{
-		floor->keep_promised = floor->keep_below;
-		lower_keep(floor, want);
-		lower_shed(floor, want, &others, now_us);
+		load_shedding->keep_promised = load_shedding->keep_below;
+		lower_keep(load_shedding, want);
+		lower_shed(load_shedding, want, &others, now_us);
 	}
 	else
-		raise_keep(floor, &others, now_us);
+		raise_keep(load_shedding, &others, now_us);
 }
--- a/libcometspindle/load_shedding.h
+++ b/libcometspindle/load_shedding.h
@@ -36,15 +36,16 @@
 };
 
 void
-comet_load_shedding_init(struct comet_load_shedding *floor, uint32_t n_tiers);
+comet_load_shedding_init(struct comet_load_shedding *load_shedding, uint32_t n_tiers);
 
 /** This VM is full, and tier is the lowest it holds: asks the fleet to let it go. */
 void
-comet_load_shedding_request(struct comet_load_shedding *floor, uint32_t tier, uint64_t now_us);
+comet_load_shedding_request(
+	struct comet_load_shedding *load_shedding, uint32_t tier, uint64_t now_us);
 
 /** Moves the floor where the promises of all other listed VMs allow it. */
 void
-comet_load_shedding_tick(struct comet_load_shedding *floor, struct comet_member *const *members,
-	size_t count, uint64_t now_us);
+comet_load_shedding_tick(struct comet_load_shedding *load_shedding,
+	struct comet_member *const *members, size_t count, uint64_t now_us);
 
 #endif
--- a/libcometspindle/quota.c
+++ b/libcometspindle/quota.c
@@ -83,11 +83,10 @@
 
 struct comet_quota_amount
 comet_quota_lease(struct comet_quota *quota, const struct comet_team *team,
-	struct comet_quota_amount asked, uint32_t peak_alive_vms, uint32_t listed_vms,
-	uint64_t now_us)
+	struct comet_quota_amount asked, uint32_t alive_vms, uint32_t listed_vms, uint64_t now_us)
 {
 	struct bucket *bucket = entry_of(quota->buckets, team->id, sizeof *bucket);
-	double part = listed_vms > 0 ? (double)peak_alive_vms / listed_vms : 1;
+	double part = listed_vms > 0 ? (double)alive_vms / listed_vms : 1;
 
 	if (!bucket->started)
 	{
--- a/libcometspindle/quota.h
+++ b/libcometspindle/quota.h
@@ -32,8 +32,7 @@
 /** At the home: refills by the clock and takes up to asked. */
 struct comet_quota_amount
 comet_quota_lease(struct comet_quota *quota, const struct comet_team *team,
-	struct comet_quota_amount asked, uint32_t peak_alive_vms, uint32_t listed_vms,
-	uint64_t now_us);
+	struct comet_quota_amount asked, uint32_t alive_vms, uint32_t listed_vms, uint64_t now_us);
 
 /** At the holder: a leased part arrived. */
 void
--- a/tests/bench/measure_directory.c
+++ b/tests/bench/measure_directory.c
@@ -44,7 +44,7 @@
 static void
 take_record(void *ctx, const struct comet_instance_record *record)
 {
-	comet_instances_put(ctx, record, 1);
+	comet_instances_update(ctx, record, 1);
 }
 
 static void
--- a/tests/fuzz/fuzz_head.c
+++ b/tests/fuzz/fuzz_head.c
@@ -24,8 +24,11 @@
 	char *caller_id; /* the caller's own */
 };
 
-static const struct comet_forward_params forward = {
-	.left_ms = 4321, .instance = "i-1", .team = "team", .last_event = "7", .body_bytes = 0};
+static const struct comet_forward_params forward = {.remaining_ms = 4321,
+	.instance = "i-1",
+	.team = "team",
+	.last_event = "7",
+	.body_bytes = 0};
 
 static void
 check(bool holds)
--- a/tests/unit/grants_fleet.h
+++ b/tests/unit/grants_fleet.h
@@ -90,7 +90,7 @@
 
 	fleet(uint32_t count, int endpoints)
 	{
-		table = create_team_table();
+		table = create_single_team_table();
 		for (uint32_t i = 1; i <= count; i++)
 			start(i, endpoints);
 		pass(4000000); /* until the VMs know each other and are old enough to own shards */
@@ -111,7 +111,7 @@
 		static const comet_placement_ops placement_ops = {
 			on_dispatch, on_refuse, on_find_owner, on_request, on_cancel, on_grant};
 		static const comet_grants_ops grants_ops = {on_send, on_granted, on_denied,
-			on_waits, on_waited, on_unanswered, on_choose, on_released};
+			on_waits, on_waited, on_unanswered, on_pick, on_released};
 		comet_rate_limiter_config bounds = {8000, 0, 0};
 		vm &one = vms[address];
 
@@ -125,7 +125,7 @@
 			std::string id = "i" + std::to_string(i);
 			comet_instance_record record = {
 				id.c_str(), "llm", "127.0.0.1:1", "z", slots, 0, false, 0};
-			comet_instances_put(one.instances, &record, now_us);
+			comet_instances_update(one.instances, &record, now_us);
 		}
 		comet_gossip_config config = {address, address, now_us, 8000, seeds, 1, "z", 100000,
 			100000, cpu_percent, nullptr};
@@ -153,7 +153,7 @@
 	on_dispatch(void *ctx, comet_placement_item *item, comet_instance *instance)
 	{
 		auto *one = static_cast<vm *>(ctx);
-		comet_instance_started(instance, &item->job);
+		comet_instance_dispatch_started(instance, &item->size);
 		one->sent[item] = instance->id;
 		one->dispatches[item]++;
 		one->parent->sends[instance->id].push_back(one->parent->now_us);
@@ -205,10 +205,11 @@
 	}
 
 	static void
-	on_denied(void *ctx, comet_placement_item *item, uint32_t shard, uint32_t beyond)
+	on_denied(void *ctx, comet_placement_item *item, uint32_t shard, uint32_t queue_limit)
 	{
 		auto *one = static_cast<vm *>(ctx);
-		comet_placement_denied(one->placement, item, shard, beyond, one->parent->now_us);
+		comet_placement_denied(
+			one->placement, item, shard, queue_limit, one->parent->now_us);
 		comet_placement_run(one->placement, one->parent->now_us);
 	}
 
@@ -232,9 +233,9 @@
 	on_grant(void *ctx, const comet_slot_request *request, comet_instance *instance)
 	{
 		auto *one = static_cast<vm *>(ctx);
-		comet_gossip_slot_granted(one->gossip, request->asker, instance->key,
-			request->job.prompt_tokens, one->parent->now_us);
-		comet_grants_grant(one->grants, request->asker, request->number, instance->key);
+		comet_gossip_slot_granted(one->gossip, request->requester, instance->key,
+			request->size.prompt_tokens, one->parent->now_us);
+		comet_grants_grant(one->grants, request->requester, request->number, instance->key);
 	}
 
 	static void
@@ -245,18 +246,18 @@
 	}
 
 	static uint32_t
-	on_choose(void *ctx, const comet_SlotAsk *request, comet_placement_wait_estimate *wait)
+	on_pick(void *ctx, const comet_SlotAsk *request, comet_placement_wait_estimate *wait)
 	{
 		auto *one = static_cast<vm *>(ctx);
 		uint64_t now_us = one->parent->now_us;
 		comet_slot_request slot_request = {};
-		slot_request.asker = request->asker;
+		slot_request.requester = request->asker;
 		slot_request.number = request->number;
 		slot_request.shard = request->shard;
-		slot_request.beyond = request->beyond;
-		slot_request.except = request->except;
-		slot_request.n_except = request->except_count;
-		slot_request.job = {
+		slot_request.queue_limit = request->beyond;
+		slot_request.excluded = request->except;
+		slot_request.n_excluded = request->except_count;
+		slot_request.size = {
 			request->prompt_tokens, request->output_tokens, 0, !request->plain};
 		slot_request.team_rank = request->team_rank;
 		slot_request.route_rank = request->route_rank;
@@ -265,7 +266,7 @@
 			request->aim_ms > 0 ? now_us + request->aim_ms * 1000 : 0;
 		slot_request.wait_us = request->wait_ms * 1000;
 		comet_instance *instance =
-			comet_placement_choose_remote(one->placement, &slot_request, now_us, wait);
+			comet_placement_pick_remote(one->placement, &slot_request, now_us, wait);
 		if (instance == nullptr)
 			return 0;
 		comet_gossip_slot_granted(
@@ -282,7 +283,7 @@
 			comet_instances_find_key(one->instances, freed->instance);
 		if (instance != nullptr)
 		{
-			comet_instance_learn(
+			comet_instance_add_sample(
 				instance, !freed->plain, freed->taken_us, freed->events);
 			comet_instance_remote_result(
 				instance, comet_grants_result(freed->result), one->parent->now_us);
@@ -335,7 +336,7 @@
 				comet_gossip_tick(one.second.gossip, now_us);
 				uint32_t known = 0;
 				uint32_t reachable = 0;
-				comet_gossip_count(one.second.gossip, &known, &reachable);
+				comet_gossip_count_peers(one.second.gossip, &known, &reachable);
 				comet_placement_set_vms(
 					one.second.placement, reachable + 1, known + 1);
 				comet_placement_run(one.second.placement, now_us);
@@ -351,12 +352,12 @@
 	{
 		auto item = std::make_unique<comet_placement_item>();
 		item->service = "llm";
-		item->job = {1000, 100, 100, true};
+		item->size = {1000, 100, 100, true};
 		if (plain)
-			item->job = {0, 0, 0, false};
+			item->size = {0, 0, 0, false};
 		item->route_rank = rank;
 		item->dispatch_deadline_us = now_us + 30000000;
-		item->early_us = now_us + 100000;
+		item->early_refusal_us = now_us + 100000;
 		item->soft_deadline_us = soft_deadline_us != 0 ? now_us + soft_deadline_us : 0;
 		comet_placement_submit(vms[address].placement, item.get(), now_us);
 		items.push_back(std::move(item));
@@ -371,15 +372,16 @@
 		vm &one = vms[address];
 		comet_instance *instance =
 			comet_instances_find(one.instances, one.sent[item].c_str());
-		comet_instance_ended(instance, &item->job, false, result, 0, 0, now_us);
+		comet_instance_dispatch_ended(instance, &item->size, false, result, 0, 0, now_us);
 		comet_placement_slot_released(one.placement, instance);
-		if (item->keeper != 0)
+		if (item->owner_vm != 0)
 		{
 			comet_grants_completion completion = {
-				result, item->job.stream, events, stream_us};
-			comet_grants_release(one.grants, item->keeper, instance->key, &completion);
+				result, item->size.stream, events, stream_us};
+			comet_grants_release(
+				one.grants, item->owner_vm, instance->key, &completion);
 		}
-		item->keeper = 0;
+		item->owner_vm = 0;
 		one.sent.erase(item);
 		comet_placement_run(one.placement, now_us);
 	}
@@ -416,7 +418,7 @@
 
 	/* Returns the owner of the shard of endpoint i0, as the VM observer sees it. */
 	uint32_t
-	keeper_of_all(uint32_t observer)
+	owner_of(uint32_t observer)
 	{
 		comet_instance *any = comet_instances_find(vms[observer].instances, "i0");
 		comet_shards *shards = comet_shards_create(nullptr, vms[observer].instances);
--- a/tests/unit/placement_fixture.h
+++ b/tests/unit/placement_fixture.h
@@ -40,7 +40,7 @@
 	on_dispatch(void *ctx, comet_placement_item *item, comet_instance *instance)
 	{
 		auto *test = static_cast<PlacementTest *>(ctx);
-		comet_instance_started(instance, &item->job);
+		comet_instance_dispatch_started(instance, &item->size);
 		test->dispatched.push_back({instance->id, item});
 	}
 
@@ -81,7 +81,7 @@
 	add(const char *id, const char *zone = "z1", bool draining = false)
 	{
 		comet_instance_record record = {id, "llm", "127.0.0.1:1", zone, 2, 0, draining, 0};
-		return comet_instances_put(instances, &record, now_us);
+		return comet_instances_update(instances, &record, now_us);
 	}
 
 	comet_placement_item
@@ -89,10 +89,10 @@
 	{
 		comet_placement_item item = {};
 		item.service = "llm";
-		item.job = {1000, 100, 100, true};
+		item.size = {1000, 100, 100, true};
 		item.route_rank = rank;
 		item.dispatch_deadline_us = now_us + 2000000;
-		item.early_us = now_us + 100000;
+		item.early_refusal_us = now_us + 100000;
 		return item;
 	}
 
@@ -100,7 +100,8 @@
 	end(const dispatch_record &one, comet_dispatch_result result)
 	{
 		comet_instance *instance = comet_instances_find(instances, one.instance.c_str());
-		comet_instance_ended(instance, &one.item->job, false, result, 0, 0, now_us);
+		comet_instance_dispatch_ended(
+			instance, &one.item->size, false, result, 0, 0, now_us);
 	}
 };
 
--- a/tests/unit/team_table.h
+++ b/tests/unit/team_table.h
@@ -14,7 +14,7 @@
 
 /** The caller releases the table with comet_route_table_unref. */
 inline comet_route_table *
-create_team_table()
+create_single_team_table()
 {
 	comet_http_limits limits = {};
 	comet_route_team team = {};
--- a/tests/unit/test_pack.cc
+++ b/tests/unit/test_compress.cc
@@ -1,5 +1,5 @@
 /*
- * test_pack.cc
+ * test_compress.cc
  * compressed texts and changes: what comes out, and what is refused
  */
 #include <gtest/gtest.h>
--- a/tests/unit/test_tally.cc
+++ b/tests/unit/test_counter_set.cc
@@ -1,5 +1,5 @@
 /*
- * test_tally.cc
+ * test_counter_set.cc
  * counters by label text
  */
 #include <gtest/gtest.h>
--- a/tests/unit/test_crashes.cc
+++ b/tests/unit/test_crash_tracker.cc
@@ -1,5 +1,5 @@
 /*
- * test_crashes.cc
+ * test_crash_tracker.cc
  * which requests are quarantined, from a VM's own attempts and from gossip in any order
  */
 #include <gtest/gtest.h>
@@ -47,10 +47,10 @@
 	add_suspect(const comet_fingerprint &request, uint32_t incarnation_key,
 		uint64_t last_seen_us, uint64_t now_us, bool cancelled = false)
 	{
-		const comet_crash_tracker_run run = {
+		const comet_crash_attempt attempt = {
 			request, incarnation_key, last_seen_us, cancelled};
 
-		comet_crash_tracker_add_suspect(crash_tracker, &run, now_us);
+		comet_crash_tracker_add_suspect(crash_tracker, &attempt, now_us);
 	}
 
 	/* An endpoint's process crashes while it runs the request. */
@@ -218,7 +218,7 @@
 	for (uint32_t incarnation_key = 1; incarnation_key <= 4; incarnation_key++)
 		vm.crash(REQUEST, incarnation_key, MINUTE_US);
 	ASSERT_TRUE(vm.is_quarantined(REQUEST));
-	comet_crash_tracker_served(vm.crash_tracker, &REQUEST, 2 * MINUTE_US);
+	comet_crash_tracker_mark_served(vm.crash_tracker, &REQUEST, 2 * MINUTE_US);
 	EXPECT_FALSE(vm.is_quarantined(REQUEST));
 	/* Later crashes count again once the request was not served for a while. */
 	for (uint32_t incarnation_key = 11; incarnation_key <= 13; incarnation_key++)
@@ -236,7 +236,7 @@
 	{
 		uint64_t now_us = MINUTE_US + incarnation_key * SECOND_US;
 		if (incarnation_key % 10 == 1)
-			comet_crash_tracker_served(vm.crash_tracker, &REQUEST, now_us);
+			comet_crash_tracker_mark_served(vm.crash_tracker, &REQUEST, now_us);
 		vm.crash(REQUEST, incarnation_key, now_us);
 		ASSERT_FALSE(vm.is_quarantined(REQUEST)) << incarnation_key;
 	}
@@ -249,7 +249,7 @@
 	Vm one;
 	Vm two;
 
-	comet_crash_tracker_served(two.crash_tracker, &REQUEST, MINUTE_US);
+	comet_crash_tracker_mark_served(two.crash_tracker, &REQUEST, MINUTE_US);
 	for (uint32_t incarnation_key = 1; incarnation_key <= 3; incarnation_key++)
 		one.crash(REQUEST, incarnation_key, MINUTE_US + SECOND_US);
 	ASSERT_TRUE(one.is_quarantined(REQUEST));
@@ -299,7 +299,7 @@
 			if (rng() % 8 == 0)
 				vm.crash(requests[rng() % 8], 1 + rng() % 12, now_us);
 			else if (rng() % 60 == 0)
-				comet_crash_tracker_served(
+				comet_crash_tracker_mark_served(
 					vm.crash_tracker, &requests[rng() % 4], now_us);
 			else
 				vm.gossip_to(vms[rng() % 5], now_us);
@@ -330,7 +330,7 @@
 			old.crash({1000 + i, i % 20}, 10 * i + incarnation_key, MINUTE_US);
 	for (uint64_t view = 0; view < 200; view++)
 		old.gossip_to(started, 2 * MINUTE_US + view * SECOND_US / 10);
-	EXPECT_EQ(comet_crash_tracker_count(started.crash_tracker).barred, 300U);
+	EXPECT_EQ(comet_crash_tracker_count(started.crash_tracker).quarantined, 300U);
 }
 
 /* VMs that report a record to each other for hours must not keep it from expiring. */
--- a/tests/unit/test_documents.cc
+++ b/tests/unit/test_documents.cc
@@ -39,8 +39,8 @@
 	const comet_route *stream = comet_route_table_find(table, "a.example", "/p/1");
 	EXPECT_EQ(stream->kind, COMET_ROUTE_STREAM);
 	EXPECT_TRUE(stream->resumable);
-	EXPECT_EQ(stream->aim_ms, 800U);
-	EXPECT_EQ(stream->gap_ms, 400U);
+	EXPECT_EQ(stream->target_latency_ms, 800U);
+	EXPECT_EQ(stream->target_gap_ms, 400U);
 	EXPECT_TRUE(comet_route_is_retryable(stream));
 	const comet_route *split = comet_route_table_find(table, "a.example", "/q/1");
 	EXPECT_TRUE(split->open);
--- a/tests/unit/test_evacuations.cc
+++ b/tests/unit/test_evacuations.cc
@@ -89,7 +89,7 @@
 	std::vector<comet_placement_item> items(4, item(0));
 	only->slots = 1;
 	for (auto &one : items)
-		one.job.stream = false;
+		one.size.stream = false;
 	for (auto &one : items)
 		comet_placement_submit(placement, &one, now_us);
 	ASSERT_EQ(dispatched.size(), 2U);
@@ -114,7 +114,7 @@
 	comet_evacuations_order(evacuations, "z1");
 	only->ejected_until_us = now_us - 1;
 	comet_placement_item one = item(0);
-	one.repeatable = true;
+	one.retryable = true;
 	EXPECT_EQ(submit(&one), "");
 }
 
@@ -123,7 +123,7 @@
 TEST(Evacuations, AGrantInAnEvacuatedZoneIsReleased)
 {
 	fleet all(3, 2);
-	uint32_t owner = all.keeper_of_all(1);
+	uint32_t owner = all.owner_of(1);
 	uint32_t requester = owner == 1 ? 2 : 1;
 	all.submit(requester); /* the slot request is in transit */
 	comet_instances_evacuate(all.vms[requester].instances, "z");
@@ -140,7 +140,7 @@
 TEST(Evacuations, RemoteWaitersAreNotGrantedEvacuatedEndpoints)
 {
 	fleet all(4, 2);
-	uint32_t owner = all.keeper_of_all(1);
+	uint32_t owner = all.owner_of(1);
 	std::vector<std::pair<uint32_t, comet_placement_item *>> running;
 	for (uint32_t i = 0; i < 2 * grants_fleet::slots; i++)
 	{
--- a/tests/unit/test_gateway_grants.cc
+++ b/tests/unit/test_gateway_grants.cc
@@ -25,7 +25,7 @@
 			std::string id = "i" + std::to_string(at);
 			comet_instance_record record = {id.c_str(), "llm", "127.0.0.1:1",
 				at % 2 == 0 ? "a" : "b", slots, 0, false, 0};
-			comet_instances_put(lists[vm], &record, 0);
+			comet_instances_update(lists[vm], &record, 0);
 		}
 	}
 	const GPtrArray *first = comet_shards_for_service(shards[0], "llm");
@@ -57,23 +57,23 @@
 TEST(ShardOwners, AllVmsAgreeAndSkipNewAndLeavingVms)
 {
 	fleet all(5, 4);
-	uint32_t owner = all.keeper_of_all(1);
+	uint32_t owner = all.owner_of(1);
 	ASSERT_NE(owner, 0U);
 	for (uint32_t vm = 2; vm <= 5; vm++)
-		EXPECT_EQ(all.keeper_of_all(vm), owner);
+		EXPECT_EQ(all.owner_of(vm), owner);
 	comet_gossip_leave(all.vms[owner].gossip, all.now_us);
 	all.deliver();
 	uint32_t other = owner == 1 ? 2 : 1;
-	uint32_t next = all.keeper_of_all(other);
+	uint32_t next = all.owner_of(other);
 	EXPECT_NE(next, owner);
 	all.start(6, 4);
 	all.pass(1000000);
-	EXPECT_EQ(all.keeper_of_all(other), next) << "a new VM must not own shards yet";
+	EXPECT_EQ(all.owner_of(other), next) << "a new VM must not own shards yet";
 
 	fleet single(1, 4);
 	single.now_us = 5000000;
 	single.start(7, 4);
-	EXPECT_EQ(single.keeper_of_all(7), 0U);
+	EXPECT_EQ(single.owner_of(7), 0U);
 }
 
 /* When all VMs had restarted, no VM was old enough to own shards for three seconds. All VMs placed
@@ -87,12 +87,12 @@
 		all.start(vm, 4);
 	}
 	all.pass(300000);
-	EXPECT_EQ(all.keeper_of_all(1), 0U);
+	EXPECT_EQ(all.owner_of(1), 0U);
 	all.pass(300000);
-	uint32_t owner = all.keeper_of_all(1);
+	uint32_t owner = all.owner_of(1);
 	EXPECT_NE(owner, 0U);
-	EXPECT_EQ(all.keeper_of_all(2), owner);
-	EXPECT_EQ(all.keeper_of_all(3), owner);
+	EXPECT_EQ(all.owner_of(2), owner);
+	EXPECT_EQ(all.owner_of(3), owner);
 }
 
 TEST(ShardOwners, VmsWithMoreCpuArePreferred)
@@ -101,14 +101,14 @@
 	const uint32_t strong = 5;
 	all.start(strong, 4, 400);
 	all.pass(2000000);
-	EXPECT_NE(all.keeper_of_all(1), strong) << "the VM is still too new";
+	EXPECT_NE(all.owner_of(1), strong) << "the VM is still too new";
 	all.pass(2000000);
 	for (uint32_t vm = 1; vm <= strong; vm++)
-		EXPECT_EQ(all.keeper_of_all(vm), strong);
+		EXPECT_EQ(all.owner_of(vm), strong);
 	fleet equal(4, 4);
 	equal.start(strong, 4);
 	equal.pass(4000000);
-	EXPECT_NE(equal.keeper_of_all(1), strong) << "with equal CPU only the hash score decides";
+	EXPECT_NE(equal.owner_of(1), strong) << "with equal CPU only the hash score decides";
 }
 
 TEST(Grants, SlotRequestsPreventOverfilledEndpoints)
@@ -182,7 +182,7 @@
 TEST(Grants, UnreachableOwnerIsReplacedWithinMilliseconds)
 {
 	fleet all(5, 4);
-	uint32_t owner = all.keeper_of_all(1);
+	uint32_t owner = all.owner_of(1);
 	uint32_t requester = owner == 1 ? 2 : 1;
 	all.lost = [owner](const mail &one) { return one.to == owner || one.from == owner; };
 	comet_placement_item *item = all.submit(requester);
@@ -190,15 +190,15 @@
 	EXPECT_EQ(all.vms[requester].sent.count(item), 0U);
 	all.pass(50000);
 	EXPECT_EQ(all.vms[requester].sent.count(item), 1U);
-	EXPECT_NE(item->keeper, 0U) << "the slot was requested from the next VM in order";
-	EXPECT_NE(item->keeper, owner);
+	EXPECT_NE(item->owner_vm, 0U) << "the slot was requested from the next VM in order";
+	EXPECT_NE(item->owner_vm, owner);
 	comet_placement_item *second = all.submit(requester);
 	all.deliver();
 	EXPECT_EQ(all.vms[requester].sent.count(second), 1U)
 		<< "the unresponsive owner must not be asked again";
-	EXPECT_NE(second->keeper, owner);
+	EXPECT_NE(second->owner_vm, owner);
 	all.pass(2000000);
-	EXPECT_NE(all.keeper_of_all(requester), owner) << "another VM must own the shard by now";
+	EXPECT_NE(all.owner_of(requester), owner) << "another VM must own the shard by now";
 }
 
 /* A slot request that was sent while expired ones were handled has a later time than the clock
@@ -247,7 +247,7 @@
 TEST(Grants, LateAnswerMarksTheOwnerResponsive)
 {
 	fleet all(5, 4);
-	uint32_t owner = all.keeper_of_all(1);
+	uint32_t owner = all.owner_of(1);
 	uint32_t requester = owner == 1 ? 2 : 1;
 	std::deque<mail> delayed;
 	all.lost = [&](const mail &one)
@@ -266,22 +266,22 @@
 	EXPECT_FALSE(comet_grants_is_unresponsive(all.vms[requester].grants, owner, all.now_us));
 	comet_placement_item *next = all.submit(requester);
 	all.deliver();
-	EXPECT_EQ(next->keeper, owner);
+	EXPECT_EQ(next->owner_vm, owner);
 }
 
 TEST(Grants, GrantForACancelledRequestIsReleased)
 {
 	fleet all(5, 1);
-	uint32_t owner = all.keeper_of_all(1);
+	uint32_t owner = all.owner_of(1);
 	uint32_t requester = owner == 1 ? 2 : 1;
 	comet_placement_item *item = all.submit(requester);
-	EXPECT_TRUE(item->asking);
+	EXPECT_TRUE(item->slot_requested);
 	comet_placement_cancel(
 		all.vms[requester].placement, item); /* the caller has disconnected */
 	all.deliver();
 	EXPECT_TRUE(all.vms[requester].sent.empty());
 	const comet_instance *instance = comet_instances_find(all.vms[owner].instances, "i0");
-	EXPECT_EQ(instance->others, 0U);
+	EXPECT_EQ(instance->remote_requests, 0U);
 	for (uint32_t i = 0; i < slots; i++)
 		all.submit(requester);
 	all.deliver();
@@ -293,11 +293,11 @@
 TEST(Grants, GrantForAnotherServiceIsRejected)
 {
 	fleet all(5, 2);
-	uint32_t owner = all.keeper_of_all(1);
+	uint32_t owner = all.owner_of(1);
 	uint32_t requester = owner == 1 ? 2 : 1;
 	comet_instance_record record = {"p0", "app", "127.0.0.1:2", "z", slots, 0, false, 0};
 	const comet_instance *other =
-		comet_instances_put(all.vms[requester].instances, &record, all.now_us);
+		comet_instances_update(all.vms[requester].instances, &record, all.now_us);
 	comet_placement_item *item = all.submit(requester);
 	comet_Datagram forged = {};
 	forged.which_body = comet_Datagram_answer_tag;
@@ -315,29 +315,29 @@
 TEST(Grants, GrantForAnEarlierIncarnationDoesNotCount)
 {
 	fleet all(5, 1);
-	uint32_t owner = all.keeper_of_all(1);
+	uint32_t owner = all.owner_of(1);
 	uint32_t requester = owner == 1 ? 2 : 1;
 	comet_instance_record later = {"i0", "llm", "127.0.0.1:1", "z", slots, 0, false, 2000};
 	comet_placement_item *before = all.submit(requester);
 	all.deliver();
 	ASSERT_EQ(all.vms[requester].sent.count(before), 1U);
 	const comet_instance *known = comet_instances_find(all.vms[owner].instances, "i0");
-	EXPECT_EQ(known->others, 1U);
+	EXPECT_EQ(known->remote_requests, 1U);
 	uint32_t earlier = known->key;
 
 	/* The requesting VM knows of the restart. */
 	const comet_instance *now =
-		comet_instances_put(all.vms[requester].instances, &later, all.now_us);
+		comet_instances_update(all.vms[requester].instances, &later, all.now_us);
 	comet_placement_item *item = all.submit(requester);
 	all.deliver();
 	EXPECT_EQ(all.vms[requester].sent.count(item), 1U);
-	EXPECT_EQ(item->keeper, 0U) << "the grant must be released";
-	EXPECT_EQ(known->others, 1U);
-	EXPECT_EQ(now->own, 1U);
+	EXPECT_EQ(item->owner_vm, 0U) << "the grant must be released";
+	EXPECT_EQ(known->remote_requests, 1U);
+	EXPECT_EQ(now->local_requests, 1U);
 
 	/* The owner learns of the restart, and then receives a release of the earlier incarnation.
 	 */
-	known = comet_instances_put(all.vms[owner].instances, &later, all.now_us);
+	known = comet_instances_update(all.vms[owner].instances, &later, all.now_us);
 	EXPECT_EQ(comet_instance_owned_load(known, all.now_us), 0U);
 	comet_gossip_slot_granted(all.vms[owner].gossip, requester, known->key, 100, all.now_us);
 	comet_grants_release(all.vms[requester].grants, owner, earlier, nullptr);
@@ -351,7 +351,7 @@
 TEST(Grants, GossipCorrectsLostReleases)
 {
 	fleet all(5, 1);
-	uint32_t owner = all.keeper_of_all(1);
+	uint32_t owner = all.owner_of(1);
 	uint32_t requester = owner == 1 ? 2 : 1;
 	std::vector<comet_placement_item *> first;
 	for (uint32_t i = 0; i < slots; i++)
@@ -391,7 +391,7 @@
 			bool down = is_down(all.vms[one.first].sent[one.second]);
 			unreached += down ? 1 : 0;
 			all.end(one.first, one.second, 0, 0,
-				down ? COMET_DISPATCH_UNREACHED : COMET_DISPATCH_SERVED);
+				down ? COMET_DISPATCH_UNREACHABLE : COMET_DISPATCH_SERVED);
 		}
 		all.deliver();
 		all.pass(100000);
@@ -423,7 +423,7 @@
 TEST(Grants, OwnerLearnsLatencyFromReleases)
 {
 	fleet all(5, 2);
-	uint32_t owner = all.keeper_of_all(1);
+	uint32_t owner = all.owner_of(1);
 	uint32_t requester = owner == 1 ? 2 : 1;
 	for (int round = 0; round < 40; round++)
 	{
@@ -441,7 +441,7 @@
 	}
 	const comet_instance *slow = comet_instances_find(all.vms[owner].instances, "i1");
 	const comet_instance *fast = comet_instances_find(all.vms[owner].instances, "i0");
-	EXPECT_GT(slow->pace, 1.5 * fast->pace);
+	EXPECT_GT(slow->relative_latency, 1.5 * fast->relative_latency);
 	comet_placement_item *next = all.submit(requester);
 	all.deliver();
 	EXPECT_EQ(all.vms[requester].sent[next], "i0");
--- a/tests/unit/test_gateway_orders.cc
+++ b/tests/unit/test_gateway_orders.cc
@@ -110,7 +110,7 @@
 	while (explorer.next())
 	{
 		fleet vms(3, 1);
-		uint32_t owner = vms.keeper_of_all(1);
+		uint32_t owner = vms.owner_of(1);
 		uint32_t first = owner == 1 ? 2 : 1;
 		uint32_t second = owner == 3 ? 2 : 3;
 		std::vector<comet_placement_item *> before;
@@ -137,7 +137,7 @@
 		ASSERT_EQ(vms.total(), 0U);
 		const comet_instance *instance =
 			comet_instances_find(vms.vms[owner].instances, "i0");
-		ASSERT_EQ(instance->own + instance->others, 0U)
+		ASSERT_EQ(instance->local_requests + instance->remote_requests, 0U)
 			<< "the owner must count no used slots";
 	}
 	printf("slot requests: %lu runs, %lu choices, %lu with both requests dispatched\n",
--- a/tests/unit/test_gateway_placement.cc
+++ b/tests/unit/test_gateway_placement.cc
@@ -110,8 +110,8 @@
 	for (int i = 0; i < 20; i++)
 	{
 		comet_instance *instance = comet_instances_find(instances, "i1");
-		comet_instance_ended(
-			instance, &running[0].job, false, COMET_DISPATCH_CANCELLED, 0, 0, now_us);
+		comet_instance_dispatch_ended(
+			instance, &running[0].size, false, COMET_DISPATCH_CANCELLED, 0, 0, now_us);
 		comet_placement_run(placement, now_us);
 		now_us += 100000;
 		auto *next = new comet_placement_item(item(2));
@@ -131,7 +131,7 @@
 	comet_placement_item small = item(2);
 	comet_placement_item large = item(2);
 
-	large.job.output_tokens = 20000;
+	large.size.output_tokens = 20000;
 	for (auto &one : items)
 		comet_placement_submit(placement, &one, now_us);
 	EXPECT_EQ(comet_placement_wait_us(placement, &small, now_us),
@@ -173,7 +173,7 @@
 	comet_placement_item one = item(0);
 	comet_placement_submit(placement, &one, now_us);
 	std::string unreachable = dispatched[0].instance;
-	end(dispatched[0], COMET_DISPATCH_UNREACHED);
+	end(dispatched[0], COMET_DISPATCH_UNREACHABLE);
 
 	std::vector<comet_placement_item> items(3, item(0));
 	for (auto &next : items)
@@ -186,7 +186,7 @@
 	size_t before = dispatched.size();
 	for (auto &next : probes)
 	{
-		next.repeatable = true;
+		next.retryable = true;
 		comet_placement_submit(placement, &next, now_us);
 	}
 	unsigned int n_probes = 0;
@@ -213,7 +213,7 @@
 	end(dispatched.back(), COMET_DISPATCH_WRONG_INSTANCE);
 	now_us += 10000000;
 	comet_placement_item three = item(0);
-	three.repeatable = true;
+	three.retryable = true;
 	comet_placement_submit(placement, &three, now_us);
 	EXPECT_EQ(dispatched.size(), 2U);
 }
@@ -238,14 +238,14 @@
 TEST_F(PlacementTest, LoadIncludesRequestsOfOtherVms)
 {
 	comet_instance *instance = add("a");
-	instance->others = 2;
+	instance->remote_requests = 2;
 	instance->gossip_us = now_us;
 	EXPECT_EQ(comet_instance_load(instance, now_us), 2U);
 	/* a newer report of the endpoint replaces gossip, and requests that this VM sent after it
 	 * are added */
 	comet_instance_load_reported(instance, 5, now_us);
-	comet_request_size job = {10, 10, 10, true};
-	comet_instance_started(instance, &job);
+	comet_request_size size = {10, 10, 10, true};
+	comet_instance_dispatch_started(instance, &size);
 	EXPECT_EQ(comet_instance_load(instance, now_us + 1), 6U);
 	/* a report expires before gossip does, and stale gossip is ignored as well */
 	EXPECT_EQ(comet_instance_load(instance, now_us + 1000000), 3U);
@@ -261,7 +261,7 @@
 	comet_placement_ops ops = {};
 	ops.grant = [](void *, const comet_slot_request *, comet_instance *instance)
 	{
-		instance->own++;
+		instance->local_requests++;
 		grants++;
 	};
 	comet_placement *owner = comet_placement_create(instances, instances, &ops, this, 1);
@@ -271,25 +271,25 @@
 	int waiting = 0;
 
 	grants = 0;
-	request.job = {1000, 100, 100, true};
+	request.size = {1000, 100, 100, true};
 	request.wait_us = 1000ULL * UINT32_MAX;
-	comet_placement_choose_remote(owner, &request, now_us, &wait); /* creates the shards */
+	comet_placement_pick_remote(owner, &request, now_us, &wait); /* creates the shards */
 	EXPECT_FALSE(wait.waits);
 	request.shard = one->shard;
-	one->own = 2;
+	one->local_requests = 2;
 	for (uint64_t number = 1; number <= 10000; number++)
 	{
 		request.number = number;
-		EXPECT_EQ(comet_placement_choose_remote(owner, &request, now_us, &wait), nullptr);
+		EXPECT_EQ(comet_placement_pick_remote(owner, &request, now_us, &wait), nullptr);
 		waiting += wait.waits ? 1 : 0;
 	}
 	EXPECT_EQ(waiting, 8192);
 	now_us += 900000;
-	one->own = 1;
+	one->local_requests = 1;
 	comet_placement_run(owner, now_us);
 	EXPECT_EQ(grants, 1);
 	now_us += 200000;
-	one->own = 1;
+	one->local_requests = 1;
 	grants = 0;
 	comet_placement_run(owner, now_us);
 	EXPECT_EQ(grants, 0);
--- a/tests/unit/test_gateway_waits.cc
+++ b/tests/unit/test_gateway_remote_waiters.cc
@@ -1,5 +1,5 @@
 /*
- * test_gateway_waits.cc
+ * test_gateway_remote_waiters.cc
  * Tests of requests of several VMs that wait at the owner of a shard for its
  * slots.
  */
@@ -16,14 +16,14 @@
 /* The owner of the shard and two VMs that request slots from it. */
 struct requesters
 {
-	uint32_t keeper;
+	uint32_t owner_vm;
 	uint32_t first;
 	uint32_t second;
 
-	explicit requesters(fleet &all) : keeper(all.keeper_of_all(1))
+	explicit requesters(fleet &all) : owner_vm(all.owner_of(1))
 	{
-		first = keeper == 1 ? 2 : 1;
-		second = keeper == 3 ? 2 : 3;
+		first = owner_vm == 1 ? 2 : 1;
+		second = owner_vm == 3 ? 2 : 3;
 	}
 };
 
@@ -45,7 +45,7 @@
 	fleet all(4, 1);
 	requesters vms(all);
 	auto running = fill_slots(all, vms.first, slots);
-	comet_placement_item *own = all.submit(vms.keeper, 4);
+	comet_placement_item *own = all.submit(vms.owner_vm, 4);
 	comet_placement_item *less_urgent = all.submit(vms.first, 3);
 	all.pass(50000);
 	comet_placement_item *urgent = all.submit(vms.second, 2);
@@ -61,7 +61,7 @@
 	EXPECT_EQ(all.vms[vms.first].sent.count(less_urgent), 1U);
 	all.end(vms.first, running[2]);
 	all.deliver();
-	EXPECT_EQ(all.vms[vms.keeper].sent.count(own), 1U)
+	EXPECT_EQ(all.vms[vms.owner_vm].sent.count(own), 1U)
 		<< "requests of the owner are served in the same order";
 	EXPECT_EQ(all.most_at_one(), slots);
 }
@@ -91,8 +91,9 @@
 	auto running = fill_slots(all, vms.first, slots);
 	comet_placement_item *item = all.submit(vms.second);
 	all.pass(50000);
-	EXPECT_TRUE(item->asking);
-	all.lost = [&](const mail &one) { return one.to == vms.keeper || one.from == vms.keeper; };
+	EXPECT_TRUE(item->slot_requested);
+	all.lost = [&](const mail &one)
+	{ return one.to == vms.owner_vm || one.from == vms.owner_vm; };
 	all.end(vms.first, running[0]);
 	all.pass(500000);
 	EXPECT_EQ(all.vms[vms.second].sent.count(item), 1U) << "placed by gossip";
@@ -106,12 +107,12 @@
 	auto running = fill_slots(all, vms.first, slots);
 	comet_placement_item *cancelled = all.submit(vms.second);
 	all.pass(50000);
-	comet_placement_item *next = all.submit(vms.keeper);
+	comet_placement_item *next = all.submit(vms.owner_vm);
 	comet_placement_cancel(all.vms[vms.second].placement, cancelled);
 	all.end(vms.first, running[0]);
 	all.pass(20000);
 	EXPECT_EQ(all.vms[vms.second].sent.size(), 0U);
-	EXPECT_EQ(all.vms[vms.keeper].sent.count(next), 1U) << "the granted slot was released";
+	EXPECT_EQ(all.vms[vms.owner_vm].sent.count(next), 1U) << "the granted slot was released";
 }
 
 TEST(RemoteWaiters, AnExpiredRequestIsRefusedAndItsGrantReleased)
@@ -123,12 +124,13 @@
 	item->dispatch_deadline_us = all.now_us + 100000;
 	all.pass(150000);
 	EXPECT_EQ(all.vms[vms.second].refused.count(item), 1U);
-	EXPECT_FALSE(item->asking);
+	EXPECT_FALSE(item->slot_requested);
 	all.end(vms.first, running[0]);
 	all.pass(50000);
 	EXPECT_TRUE(all.vms[vms.second].sent.empty());
-	const comet_instance *instance = comet_instances_find(all.vms[vms.keeper].instances, "i0");
-	EXPECT_EQ(instance->own + instance->others, slots - 1);
+	const comet_instance *instance =
+		comet_instances_find(all.vms[vms.owner_vm].instances, "i0");
+	EXPECT_EQ(instance->local_requests + instance->remote_requests, slots - 1);
 }
 
 /* Guards against two pending slot requests of one request, which was then sent twice. The owner of
@@ -148,7 +150,7 @@
 		[](void *ctx, comet_placement_item *, comet_instance *instance)
 		{
 			static_cast<request_log *>(ctx)->dispatches++;
-			instance->own++;
+			instance->local_requests++;
 		},
 		[](void *, comet_placement_item *, uint32_t) {},
 		[](void *ctx, comet_shard *)
@@ -172,12 +174,12 @@
 	for (const char *zone : {"a", "b", "c"})
 	{
 		comet_instance_record record = {zone, "llm", "127.0.0.1:1", zone, 1, 0, false, 0};
-		comet_instances_put(instances, &record, 0)->own = 1;
+		comet_instances_update(instances, &record, 0)->local_requests = 1;
 	}
 	comet_placement *placement = comet_placement_create(instances, instances, &ops, &one, 1);
 	comet_placement_item item = {};
 	item.service = "llm";
-	item.job = {1000, 100, 100, true};
+	item.size = {1000, 100, 100, true};
 	item.route_rank = 2; /* this rank does not queue at endpoints */
 	item.dispatch_deadline_us = 60000000;
 	uint64_t now_us = 1000000;
@@ -186,7 +188,7 @@
 	{
 		comet_placement_run(placement, now_us);
 		ASSERT_LE(one.open, 1U);
-		if (!item.asking || i % 3 != 0)
+		if (!item.slot_requested || i % 3 != 0)
 			continue;
 		one.open--;
 		if (one.last.wait_us > 0)
@@ -197,9 +199,9 @@
 	EXPECT_EQ(one.max_open, 1U);
 	EXPECT_EQ(one.dispatches, 0U);
 	uint32_t key = comet_instances_find(instances, "a")->key;
-	for (int i = 0; i < 200 && !item.asking; i++)
+	for (int i = 0; i < 200 && !item.slot_requested; i++)
 		comet_placement_run(placement, now_us += 20000);
-	ASSERT_TRUE(item.asking);
+	ASSERT_TRUE(item.slot_requested);
 	EXPECT_TRUE(comet_placement_granted(placement, &item, 7, key, now_us));
 	EXPECT_FALSE(comet_placement_granted(placement, &item, 7, key, now_us))
 		<< "the second grant is not used";
--- a/tests/unit/test_gateway_routes.cc
+++ b/tests/unit/test_gateway_routes.cc
@@ -181,8 +181,8 @@
 	comet_rate_limiter *
 	create_rate_limiter(uint64_t now_us) const
 	{
-		comet_rate_limiter_config bounds = {8000, 0.25, 1000};
-		comet_rate_limiter *one = comet_rate_limiter_create(nullptr, &bounds, now_us);
+		comet_rate_limiter_config config = {8000, 0.25, 1000};
+		comet_rate_limiter *one = comet_rate_limiter_create(nullptr, &config, now_us);
 		comet_rate_limiter_set_teams(one, builder.table, now_us);
 		return one;
 	}
@@ -201,7 +201,7 @@
 		auto visit = [](void *ctx, const comet_rate_limiter_report *report)
 		{
 			auto *most = static_cast<uint64_t *>(ctx);
-			*most = std::max(*most, report->recent);
+			*most = std::max(*most, report->all_spent_in_window);
 		};
 		for (comet_rate_limiter *one : all)
 			comet_rate_limiter_each(one, now_us, visit, &recent);
@@ -310,10 +310,10 @@
 
 TEST(Allowance, ARefusalCarriesTheRetryTime)
 {
-	comet_rate_limiter_config bounds = {8000, 0, 0};
+	comet_rate_limiter_config config = {8000, 0, 0};
 	table_builder builder(1);
 	builder.team("t", "k", 100, 200);
-	comet_rate_limiter *rate_limiter = comet_rate_limiter_create(nullptr, &bounds, 0);
+	comet_rate_limiter *rate_limiter = comet_rate_limiter_create(nullptr, &config, 0);
 	uint32_t id = comet_hash_name("t");
 	comet_rate_limiter_set_teams(rate_limiter, builder.table, 0);
 
@@ -347,12 +347,12 @@
  * quarter. */
 TEST(Allowance, UsageIsScaledWhenTheLimitIsLowered)
 {
-	comet_rate_limiter_config bounds = {8000, 0, 0};
+	comet_rate_limiter_config config = {8000, 0, 0};
 	table_builder high(1);
 	table_builder low(2);
 	high.team("t", "k", 1000, 0);
 	low.team("t", "k", 250, 0);
-	comet_rate_limiter *rate_limiter = comet_rate_limiter_create(nullptr, &bounds, 0);
+	comet_rate_limiter *rate_limiter = comet_rate_limiter_create(nullptr, &config, 0);
 	uint32_t id = comet_hash_name("t");
 	comet_rate_limiter_set_teams(rate_limiter, high.table, 0);
 	EXPECT_EQ(comet_rate_limiter_spend(
@@ -378,10 +378,10 @@
  * usage of other VMs from its own, and after a start there may be many others. */
 TEST(Allowance, TheEstimateForOtherVmsBoundsOneLargeRequest)
 {
-	comet_rate_limiter_config bounds = {8000, 0, 0};
+	comet_rate_limiter_config config = {8000, 0, 0};
 	table_builder builder(1);
 	builder.team("t", "k", 1000, 1000);
-	comet_rate_limiter *rate_limiter = comet_rate_limiter_create(nullptr, &bounds, 0);
+	comet_rate_limiter *rate_limiter = comet_rate_limiter_create(nullptr, &config, 0);
 	uint32_t id = comet_hash_name("t");
 	comet_rate_limiter_set_teams(rate_limiter, builder.table, 0);
 	comet_rate_limiter_set_vms(rate_limiter, 6, 6, 0);
@@ -410,10 +410,10 @@
  * longer fit. */
 TEST(Allowance, APartOfTheLimitIsReservedForUrgentRequests)
 {
-	comet_rate_limiter_config bounds = {8000, 0, 0};
+	comet_rate_limiter_config config = {8000, 0, 0};
 	table_builder builder(1);
 	builder.team("t", "k", 1000, 2000);
-	comet_rate_limiter *rate_limiter = comet_rate_limiter_create(nullptr, &bounds, 0);
+	comet_rate_limiter *rate_limiter = comet_rate_limiter_create(nullptr, &config, 0);
 	uint32_t id = comet_hash_name("t");
 	comet_rate_limiter_set_teams(rate_limiter, builder.table, 0);
 	uint64_t now_us = 20000000;
@@ -457,10 +457,10 @@
  * these requests leave to others. */
 TEST(Allowance, LessUrgentRequestsAreAdmittedAfterAStart)
 {
-	comet_rate_limiter_config bounds = {8000, 0, 0};
+	comet_rate_limiter_config config = {8000, 0, 0};
 	table_builder builder(1);
 	builder.team("t", "k", 1000, 2000);
-	comet_rate_limiter *rate_limiter = comet_rate_limiter_create(nullptr, &bounds, 20000000);
+	comet_rate_limiter *rate_limiter = comet_rate_limiter_create(nullptr, &config, 20000000);
 	uint32_t id = comet_hash_name("t");
 	comet_rate_limiter_set_teams(rate_limiter, builder.table, 20000000);
 	EXPECT_EQ(comet_rate_limiter_spend(
@@ -479,10 +479,10 @@
 
 TEST(Allowance, ARefundRestoresTheLimit)
 {
-	comet_rate_limiter_config bounds = {8000, 0, 0};
+	comet_rate_limiter_config config = {8000, 0, 0};
 	table_builder builder(1);
 	builder.team("t", "k", 100, 200);
-	comet_rate_limiter *rate_limiter = comet_rate_limiter_create(nullptr, &bounds, 0);
+	comet_rate_limiter *rate_limiter = comet_rate_limiter_create(nullptr, &config, 0);
 	uint32_t id = comet_hash_name("t");
 	comet_rate_limiter_set_teams(rate_limiter, builder.table, 0);
 
@@ -502,19 +502,19 @@
 
 TEST(RetryBudget, RetriesStayWithinTheirRatio)
 {
-	comet_retry_budget_config bounds = {0.2, 10000, 90};
+	comet_retry_budget_config config = {0.2, 10000, 90};
 	const int vms = 9;
 	const int first_attempts = 1000;
 	unsigned int retries = 0;
 
 	for (int vm = 0; vm < vms; vm++)
 	{
-		comet_retry_budget *budget = comet_retry_budget_create(nullptr, &bounds);
+		comet_retry_budget *budget = comet_retry_budget_create(nullptr, &config);
 		comet_retry_budget_set_vms(budget, vms);
 		for (int i = 0; i < first_attempts; i++)
 		{
 			uint64_t now_us = (uint64_t)i * 10000;
-			comet_retry_budget_first(budget, "s", now_us);
+			comet_retry_budget_record_first_attempt(budget, "s", now_us);
 			while (comet_retry_budget_take(budget, "s", now_us))
 				retries++;
 		}
@@ -526,8 +526,8 @@
 
 TEST(RetryBudget, ANewVmAllowsFewRetries)
 {
-	comet_retry_budget_config bounds = {0.2, 10000, 58};
-	comet_retry_budget *budget = comet_retry_budget_create(nullptr, &bounds);
+	comet_retry_budget_config config = {0.2, 10000, 58};
+	comet_retry_budget *budget = comet_retry_budget_create(nullptr, &config);
 	unsigned int retries = 0;
 
 	comet_retry_budget_set_vms(budget, 32);
--- a/tests/unit/test_gateway_in_time.cc
+++ b/tests/unit/test_gateway_soft_deadlines.cc
@@ -1,5 +1,5 @@
 /*
- * test_gateway_in_time.cc
+ * test_gateway_soft_deadlines.cc
  * Tests of placement with soft deadlines: the choice of endpoints and the
  * order of service.
  */
@@ -27,7 +27,7 @@
 	add_with_latency(const char *id, double pace)
 	{
 		comet_instance *instance = add(id);
-		instance->pace = pace;
+		instance->relative_latency = pace;
 		return instance;
 	}
 
@@ -107,12 +107,12 @@
 	std::vector<comet_placement_item> running(2, item_with_soft_deadline(2, 600000));
 	submit_all(running);
 	comet_placement_item large = item_with_soft_deadline(1, 1500000);
-	large.job.prompt_tokens = 10000; /* the first event takes 400 ms on the fast endpoint and
+	large.size.prompt_tokens = 10000; /* the first event takes 400 ms on the fast endpoint and
 					    2,000 ms on the slow one */
 	comet_placement_submit(placement, &large, now_us);
 	EXPECT_EQ(dispatched.size(), 3U) << "a more urgent rank may queue at the fast endpoint";
 	comet_placement_item larger = item_with_soft_deadline(1, 1500000);
-	larger.job.prompt_tokens = 10000;
+	larger.size.prompt_tokens = 10000;
 	comet_placement_submit(placement, &larger, now_us);
 	comet_placement_item small = item_with_soft_deadline(2, 700000);
 	comet_placement_submit(placement, &small, now_us);
@@ -135,10 +135,10 @@
 TEST(SoftDeadline, AnOwnerDefersASlowSlotUntilTheRequestIsLate)
 {
 	grants_fleet::fleet all(5, 2);
-	uint32_t keeper = all.keeper_of_all(1);
-	uint32_t requester = keeper == 1 ? 2 : 1;
+	uint32_t owner_vm = all.owner_of(1);
+	uint32_t requester = owner_vm == 1 ? 2 : 1;
 	for (auto &one : all.vms)
-		comet_instances_find(one.second.instances, "i1")->pace = 8;
+		comet_instances_find(one.second.instances, "i1")->relative_latency = 8;
 	for (uint32_t i = 0; i < grants_fleet::slots; i++)
 		all.submit(requester);
 	all.pass(20000);
--- a/tests/unit/test_gateway_views.cc
+++ b/tests/unit/test_gossip.cc
@@ -1,5 +1,5 @@
 /*
- * test_gateway_views.cc
+ * test_gossip.cc
  * tests of gossip between VMs and of peer discovery, in virtual time
  */
 #include "team_table.h"
@@ -38,7 +38,7 @@
 	explicit vms(int count, uint32_t n_zones = 1, uint32_t budget = 1000000)
 	    : zones(n_zones), bytes_per_s(budget)
 	{
-		table = create_team_table();
+		table = create_single_team_table();
 		for (int i = 1; i <= count; i++)
 			start((uint32_t)i, (uint64_t)i);
 	}
@@ -69,7 +69,7 @@
 			comet_rate_limiter_create(one.instances, &limiter_config, now_us);
 		comet_rate_limiter_set_teams(one.rate_limiter, table, now_us);
 		comet_instance_record record = {"i", "llm", "127.0.0.1:1", "z", 4, 0, false, 0};
-		comet_instances_put(one.instances, &record, now_us);
+		comet_instances_update(one.instances, &record, now_us);
 		comet_gossip_config config = {address, incarnation, now_us, 8000, seeds, 1,
 			zone.c_str(), bytes_per_s, bytes_per_s, 100, nullptr};
 		one.gossip = comet_gossip_create(
@@ -128,7 +128,7 @@
 	{
 		uint32_t known = 0;
 		uint32_t heard = 0;
-		comet_gossip_count(one.second.gossip, &known, &heard);
+		comet_gossip_count_peers(one.second.gossip, &known, &heard);
 		EXPECT_EQ(known, 8U);
 		EXPECT_EQ(heard, 8U);
 	}
@@ -169,7 +169,7 @@
 		view.spent_count = 0;
 		EXPECT_TRUE(comet_gossip_receive(gossip, &view, now_us));
 	}
-	comet_gossip_count(gossip, &known, &heard);
+	comet_gossip_count_peers(gossip, &known, &heard);
 	EXPECT_LE(known, 2048U);
 	EXPECT_GE(heard, 2U);
 	EXPECT_LE(comet_gossip_entry_count(gossip), 2048U);
@@ -182,7 +182,7 @@
 	/* the invented VMs expire, and the others are seen again */
 	for (int i = 0; i < 500; i++, now_us += 50000)
 		fleet.step(now_us);
-	comet_gossip_count(gossip, &known, &heard);
+	comet_gossip_count_peers(gossip, &known, &heard);
 	EXPECT_EQ(known, 2U);
 	EXPECT_EQ(heard, 2U);
 	EXPECT_LE(comet_gossip_entry_count(gossip), 100U);
@@ -195,9 +195,9 @@
 	vms fleet(1);
 	uint64_t now_us = 1000000;
 	comet_instance *seen = comet_instances_find(fleet.all[1].instances, "i");
-	comet_request_size job = {600, 10, 10, true};
+	comet_request_size size = {600, 10, 10, true};
 
-	comet_instance_started(seen, &job);
+	comet_instance_dispatch_started(seen, &size);
 	for (uint32_t address : {5U, 6U})
 	{
 		comet_View view = {};
@@ -222,23 +222,23 @@
 	vms fleet(2);
 	uint64_t now_us = 1000000;
 	comet_instance_record record = {"i", "llm", "127.0.0.1:1", "z", 4, 0, false, 1000};
-	comet_request_size job = {600, 10, 10, true};
+	comet_request_size size = {600, 10, 10, true};
 
 	for (auto &one : fleet.all)
-		comet_instances_put(one.second.instances, &record, now_us);
+		comet_instances_update(one.second.instances, &record, now_us);
 	for (int i = 0; i < 40; i++, now_us += 50000)
 		fleet.step(now_us);
 	comet_instance *seen = comet_instances_find(fleet.all[1].instances, "i");
-	comet_instance_started(comet_instances_find(fleet.all[2].instances, "i"), &job);
+	comet_instance_dispatch_started(comet_instances_find(fleet.all[2].instances, "i"), &size);
 	comet_gossip_slot_granted(fleet.all[1].gossip, 2, seen->key, 600, now_us);
 	uint32_t earlier_key = seen->key;
 	fleet.step(now_us += 200000);
-	EXPECT_EQ(seen->others, 1U);
+	EXPECT_EQ(seen->remote_requests, 1U);
 	/* VM 1 learns that the endpoint has restarted, VM 2 does not yet */
 	record.process_start_ms = 2000;
-	seen = comet_instances_put(fleet.all[1].instances, &record, now_us);
+	seen = comet_instances_update(fleet.all[1].instances, &record, now_us);
 	fleet.step(now_us += 200000);
-	EXPECT_EQ(seen->others, 0U);
+	EXPECT_EQ(seen->remote_requests, 0U);
 	comet_gossip_slot_granted(fleet.all[1].gossip, 2, seen->key, 600, now_us);
 	EXPECT_EQ(comet_instance_owned_load(seen, now_us), 1U);
 	comet_gossip_slot_released(fleet.all[1].gossip, 2, earlier_key);
@@ -252,19 +252,19 @@
 	vms fleet(3);
 	uint64_t now_us = 1000000;
 	uint32_t team = comet_hash_name("t");
-	comet_request_size job = {500, 10, 10, true};
+	comet_request_size size = {500, 10, 10, true};
 	/* longer than a window, so that no spending is assumed for the time before */
 	for (int i = 0; i < 400; i++, now_us += 50000)
 		fleet.step(now_us);
 	EXPECT_EQ(comet_rate_limiter_remaining(fleet.all[3].rate_limiter, team, now_us), 9000);
-	comet_instance_started(comet_instances_find(fleet.all[2].instances, "i"), &job);
+	comet_instance_dispatch_started(comet_instances_find(fleet.all[2].instances, "i"), &size);
 	EXPECT_EQ(comet_rate_limiter_spend(fleet.all[2].rate_limiter, team, 0, 100,
 			  COMET_RATE_LIMITER_GOSSIP, now_us),
 		0U);
 	for (int i = 0; i < 8; i++, now_us += 50000)
 		fleet.step(now_us);
 	comet_instance *instance = comet_instances_find(fleet.all[3].instances, "i");
-	EXPECT_EQ(instance->others, 1U);
+	EXPECT_EQ(instance->remote_requests, 1U);
 	EXPECT_EQ(instance->remote_prompt_tokens, 500U);
 	EXPECT_EQ(comet_rate_limiter_remaining(fleet.all[3].rate_limiter, team, now_us), 8900);
 }
@@ -359,23 +359,23 @@
 {
 	vms fleet(3);
 	uint64_t now_us = 1000000;
-	comet_request_size job = {500, 10, 10, true};
-	comet_instance_started(comet_instances_find(fleet.all[2].instances, "i"), &job);
+	comet_request_size size = {500, 10, 10, true};
+	comet_instance_dispatch_started(comet_instances_find(fleet.all[2].instances, "i"), &size);
 	for (int i = 0; i < 40; i++, now_us += 50000)
 		fleet.step(now_us);
-	EXPECT_EQ(comet_instances_find(fleet.all[3].instances, "i")->others, 1U);
+	EXPECT_EQ(comet_instances_find(fleet.all[3].instances, "i")->remote_requests, 1U);
 	for (int i = 0; i < 40; i++, now_us += 50000)
 		fleet.step(now_us, 2);
 	uint32_t known = 0;
 	uint32_t heard = 0;
-	comet_gossip_count(fleet.all[3].gossip, &known, &heard);
+	comet_gossip_count_peers(fleet.all[3].gossip, &known, &heard);
 	EXPECT_EQ(known, 2U);
 	EXPECT_EQ(heard, 1U);
-	EXPECT_EQ(comet_instances_find(fleet.all[3].instances, "i")->others, 0U);
+	EXPECT_EQ(comet_instances_find(fleet.all[3].instances, "i")->remote_requests, 0U);
 	/* the VM is reachable again once the partition ends */
 	for (int i = 0; i < 60; i++, now_us += 50000)
 		fleet.step(now_us);
-	comet_gossip_count(fleet.all[3].gossip, &known, &heard);
+	comet_gossip_count_peers(fleet.all[3].gossip, &known, &heard);
 	EXPECT_EQ(heard, 2U);
 }
 
@@ -403,13 +403,13 @@
 		fleet.step(now_us);
 	EXPECT_EQ(comet_rate_limiter_remaining(fleet.all[3].rate_limiter, team, now_us), 7900);
 	EXPECT_EQ(comet_rate_limiter_remaining(fleet.all[2].rate_limiter, team, now_us), 7900);
-	comet_gossip_count(fleet.all[3].gossip, &known, &heard);
+	comet_gossip_count_peers(fleet.all[3].gossip, &known, &heard);
 	EXPECT_EQ(known, 2U);
 	EXPECT_EQ(heard, 2U);
 	/* its process ends: it does not count as a partitioned VM that may still spend */
 	for (int i = 0; i < 30; i++, now_us += 50000)
 		fleet.step(now_us, 2);
-	comet_gossip_count(fleet.all[3].gossip, &known, &heard);
+	comet_gossip_count_peers(fleet.all[3].gossip, &known, &heard);
 	EXPECT_EQ(known, 1U);
 	EXPECT_EQ(heard, 1U);
 }
@@ -427,7 +427,7 @@
 		fleet.step(now_us);
 	for (auto &one : fleet.all)
 	{
-		comet_gossip_count(one.second.gossip, &known, &heard);
+		comet_gossip_count_peers(one.second.gossip, &known, &heard);
 		EXPECT_EQ(heard, 39U);
 	}
 	fleet.between_zones = 0;
@@ -486,7 +486,7 @@
 	{
 		uint32_t known = 0;
 		uint32_t heard = 0;
-		comet_gossip_count(one.second.gossip, &known, &heard);
+		comet_gossip_count_peers(one.second.gossip, &known, &heard);
 		EXPECT_GE(heard, count - 2) << "VM " << one.first;
 	}
 }
@@ -538,7 +538,7 @@
 	{
 		uint32_t known = 0;
 		uint32_t heard = 0;
-		comet_gossip_count(one.second.gossip, &known, &heard);
+		comet_gossip_count_peers(one.second.gossip, &known, &heard);
 		EXPECT_EQ(heard, 5U);
 	}
 }
--- a/tests/unit/test_incarnations.cc
+++ b/tests/unit/test_incarnations.cc
@@ -39,7 +39,7 @@
 struct reader
 {
 	comet_instances *instances = comet_instances_create(nullptr, "a");
-	comet_incarnations *lives = comet_incarnations_create(instances);
+	comet_incarnations *incarnations = comet_incarnations_create(instances);
 	comet_replica *replica;
 	int start_regressions = 0;
 
@@ -58,16 +58,16 @@
 	apply(void *ctx, const comet_instance_record *record)
 	{
 		auto *self = static_cast<reader *>(ctx);
-		uint64_t before = comet_incarnations_start_ms(self->lives, "i");
+		uint64_t before = comet_incarnations_start_ms(self->incarnations, "i");
 		enum comet_incarnation_order order =
-			comet_incarnations_observe(self->lives, record, 1);
+			comet_incarnations_observe(self->incarnations, record, 1);
 		if (order == COMET_INCARNATION_LATEST)
-			comet_instances_put(self->instances, record, 1);
+			comet_instances_update(self->instances, record, 1);
 		else if (order == COMET_INCARNATION_UNSPECIFIED)
 			comet_instances_remove(self->instances, "i");
 		/* the process start must never decrease */
 		self->start_regressions +=
-			comet_incarnations_start_ms(self->lives, "i") < before ? 1 : 0;
+			comet_incarnations_start_ms(self->incarnations, "i") < before ? 1 : 0;
 	}
 
 	static void
@@ -81,7 +81,7 @@
 	static void
 	removed(void *ctx, const char *, bool)
 	{
-		comet_incarnations_forget(static_cast<reader *>(ctx)->lives, "i");
+		comet_incarnations_forget(static_cast<reader *>(ctx)->incarnations, "i");
 		comet_instances_remove(static_cast<reader *>(ctx)->instances, "i");
 	}
 
@@ -212,12 +212,12 @@
 /* Records entries of one id. */
 struct Incarnations : ::testing::Test
 {
-	comet_incarnations *lives = comet_incarnations_create(nullptr);
+	comet_incarnations *incarnations = comet_incarnations_create(nullptr);
 	std::string accepted;
 
 	~Incarnations() override
 	{
-		talloc_free(lives);
+		talloc_free(incarnations);
 	}
 
 	comet_incarnation_order
@@ -225,7 +225,7 @@
 	{
 		comet_instance_record record = {
 			"i", "llm", "127.0.0.1:1", "z", 4, 0, false, process_start_ms};
-		return comet_incarnations_observe(lives, &record, now_us);
+		return comet_incarnations_observe(incarnations, &record, now_us);
 	}
 
 	/* Returns the earlier incarnation that is accepted at a time, or "". */
@@ -234,7 +234,7 @@
 	{
 		accepted.clear();
 		comet_incarnations_tick(
-			lives, now_us,
+			incarnations, now_us,
 			[](void *ctx, const comet_instance_record *record)
 			{
 				*static_cast<std::string *>(ctx) =
@@ -255,7 +255,7 @@
 	EXPECT_EQ(observe(2000), COMET_INCARNATION_LATEST);
 	EXPECT_EQ(observe(1000), COMET_INCARNATION_EARLIER);
 	EXPECT_EQ(observe(0), COMET_INCARNATION_UNSPECIFIED);
-	EXPECT_EQ(comet_incarnations_start_ms(lives, "i"), 2000U);
+	EXPECT_EQ(comet_incarnations_start_ms(incarnations, "i"), 2000U);
 }
 
 /* If a machine's clock was set back before a server restarted there, all entries of the new process
@@ -279,16 +279,16 @@
 TEST_F(Incarnations, AnExpiringEndpointKeepsItsProcessStart)
 {
 	observe(2000);
-	comet_incarnations_schedule_expiry(lives, "i");
+	comet_incarnations_schedule_expiry(incarnations, "i");
 	EXPECT_EQ(observe(1000, second_us), COMET_INCARNATION_EARLIER);
-	comet_incarnations_expire(lives, "i"); /* an entry was recorded since: no effect */
+	comet_incarnations_expire(incarnations, "i"); /* an entry was recorded since: no effect */
 	EXPECT_EQ(accepted_at(7 * second_us), "127.0.0.1:1 1000");
-	comet_incarnations_schedule_expiry(lives, "i");
-	comet_incarnations_expire(lives, "i");
-	EXPECT_EQ(comet_incarnations_start_ms(lives, "i"), 0U);
+	comet_incarnations_schedule_expiry(incarnations, "i");
+	comet_incarnations_expire(incarnations, "i");
+	EXPECT_EQ(comet_incarnations_start_ms(incarnations, "i"), 0U);
 	observe(1000);
 	observe(500, second_us);
-	comet_incarnations_schedule_expiry(lives, "i"); /* drops the earlier entry as well */
+	comet_incarnations_schedule_expiry(incarnations, "i"); /* drops the earlier entry as well */
 	EXPECT_EQ(accepted_at(20 * second_us), "");
 }
 
@@ -296,7 +296,7 @@
 {
 	observe(2000);
 	observe(1000);
-	comet_incarnations_forget(lives, "i");
+	comet_incarnations_forget(incarnations, "i");
 	EXPECT_EQ(accepted_at(20 * second_us), "");
 	EXPECT_EQ(observe(1000), COMET_INCARNATION_LATEST);
 }
--- a/tests/unit/test_instances.cc
+++ b/tests/unit/test_instances.cc
@@ -27,7 +27,7 @@
 	SetUp() override
 	{
 		comet_instance_record record = {"i", "llm", "127.0.0.1:1", "z", 4, 0, false, 0};
-		comet_instances_put(instances, &record, 0);
+		comet_instances_update(instances, &record, 0);
 	}
 
 	~Expiry() override
@@ -90,7 +90,7 @@
 	ASSERT_TRUE(comet_instances_schedule_expiry(
 		instances, "i", outage_us, &config, outage_us + 100000));
 	comet_instance_record record = {"i", "llm", "127.0.0.1:1", "z", 4, 0, false, 0};
-	comet_instances_put(instances, &record, outage_us + second_us);
+	comet_instances_update(instances, &record, outage_us + second_us);
 	EXPECT_TRUE(in_use(outage_us + 9 * second_us));
 }
 
@@ -99,22 +99,23 @@
 TEST_F(Expiry, AnUnusedServiceIsDroppedWithItsLastEndpoint)
 {
 	comet_instance *only = comet_instances_find(instances, "i");
-	comet_request_size job = {0, 0, 0, false};
-	comet_instance_started(only, &job);
-	comet_instance_ended(only, &job, true, COMET_DISPATCH_SERVED, 700000, 0, second_us);
-	uint64_t learned_us = comet_instances_typical_first_us(instances, "llm", &job);
+	comet_request_size size = {0, 0, 0, false};
+	comet_instance_dispatch_started(only, &size);
+	comet_instance_dispatch_ended(
+		only, &size, true, COMET_DISPATCH_SERVED, 700000, 0, second_us);
+	uint64_t learned_us = comet_instances_typical_first_us(instances, "llm", &size);
 	comet_instances_remove(instances, "i");
 	for (int i = 0; i < 1000; i++)
 	{
 		std::string service = "s" + std::to_string(i);
 		comet_instance_record record = {
 			"j", service.c_str(), "127.0.0.1:1", "z", 4, 0, false, 0};
-		comet_instances_put(instances, &record, second_us);
+		comet_instances_update(instances, &record, second_us);
 	}
-	EXPECT_EQ(comet_instances_services(instances), 2U);
+	EXPECT_EQ(comet_instances_service_count(instances), 2U);
 	EXPECT_NE(comet_instances_for_service(instances, "s999"), nullptr);
 	EXPECT_EQ(comet_instances_for_service(instances, "llm"), nullptr);
-	EXPECT_EQ(comet_instances_typical_first_us(instances, "llm", &job), learned_us);
+	EXPECT_EQ(comet_instances_typical_first_us(instances, "llm", &size), learned_us);
 }
 
 struct InstanceIncarnations : ::testing::Test
@@ -131,37 +132,37 @@
 	{
 		comet_instance_record record = {
 			"i", "llm", "127.0.0.1:1", "z", 4, 0, draining, process_start_ms};
-		return comet_instances_put(instances, &record, second_us);
+		return comet_instances_update(instances, &record, second_us);
 	}
 };
 
 TEST_F(InstanceIncarnations, ALaterIncarnationStartsWithoutStateOfTheEarlierOne)
 {
 	comet_instance *earlier = put(1000);
-	uint64_t changes = comet_instances_changes(instances);
+	uint64_t changes = comet_instances_change_count(instances);
 	uint32_t key = earlier->key;
-	comet_request_size job = {600, 10, 10, true};
-	comet_instance_started(earlier, &job);
+	comet_request_size size = {600, 10, 10, true};
+	comet_instance_dispatch_started(earlier, &size);
 	comet_instance_slot_granted(earlier, 600, second_us);
 	comet_instance_load_reported(earlier, 3, second_us);
 	comet_instance_seen(earlier, second_us);
 	for (int i = 0; i < 5; i++)
-		comet_instance_ended(
-			earlier, &job, false, COMET_DISPATCH_BROKEN, 0, 0, 2 * second_us);
-	earlier->pace = 3;
+		comet_instance_dispatch_ended(
+			earlier, &size, false, COMET_DISPATCH_BROKEN, 0, 0, 2 * second_us);
+	earlier->relative_latency = 3;
 	comet_instance *later = put(2000);
 	EXPECT_NE(later->key, key);
-	EXPECT_EQ(later->place, comet_instance_key("i", 0)); /* the endpoint stays in its shard */
+	EXPECT_EQ(later->id_hash, comet_instance_key("i", 0)); /* the endpoint stays in its shard */
 	EXPECT_EQ(comet_instances_find_key(instances, key), nullptr);
 	EXPECT_EQ(comet_instances_find(instances, "i"), later);
-	EXPECT_GT(comet_instances_changes(instances), changes);
+	EXPECT_GT(comet_instances_change_count(instances), changes);
 	EXPECT_EQ(comet_instance_load(later, second_us), 0U);
 	EXPECT_EQ(comet_instance_owned_load(later, second_us), 0U);
 	EXPECT_EQ(later->local_prompt_tokens + later->failures + later->refusals, 0U);
 	EXPECT_EQ(later->ejected_until_us + later->full_until_us + later->last_seen_us +
 			  later->reported_us,
 		0U);
-	EXPECT_EQ(later->pace, 1.0);
+	EXPECT_EQ(later->relative_latency, 1.0);
 	EXPECT_EQ(comet_instances_for_service(instances, "llm")->len, 1U);
 }
 
@@ -170,7 +171,7 @@
 {
 	comet_instance *remaining = put(1000);
 	comet_instance_record record = {"j", "llm", "127.0.0.1:2", "z", 4, 0, false, 5};
-	comet_instance *removed = comet_instances_put(instances, &record, second_us);
+	comet_instance *removed = comet_instances_update(instances, &record, second_us);
 	removed->key = remaining->key;
 	comet_instances_remove(instances, "j");
 	EXPECT_EQ(comet_instances_find_key(instances, remaining->key), remaining);
--- a/tests/unit/test_latency.cc
+++ b/tests/unit/test_latency_histogram.cc
@@ -1,5 +1,5 @@
 /*
- * test_latency.cc
+ * test_latency_histogram.cc
  * histograms of times and their text
  */
 #include <gtest/gtest.h>
--- a/tests/unit/test_limits_fleet.cc
+++ b/tests/unit/test_limits_fleet.cc
@@ -71,7 +71,7 @@
 	fleet *cluster = nullptr;
 	uint32_t address = 0;
 	comet_rate_limiter *rate_limiter = nullptr;
-	comet_quota_requests *charges = nullptr;
+	comet_quota_requests *quota_requests = nullptr;
 	std::map<uint32_t, uint64_t> told; /* team -> spent, as last reported to the other VMs */
 };
 
@@ -99,7 +99,7 @@
 	std::deque<datagram_in_flight> in_flight;
 	std::set<pending_request *> pending_requests;
 	std::set<uint32_t> unreachable;    /* VMs that exchange no datagrams with others */
-	uint32_t keeper = 1;               /* of all quotas */
+	uint32_t owner_vm = 1;             /* of all quotas */
 	uint32_t detected_unreachable = 0; /* number of VMs that are known to be unreachable */
 	uint64_t partitioned_since_us = 0;
 	uint64_t now_us = 20 * second_us;
@@ -146,7 +146,8 @@
 		one.told.clear();
 		one.rate_limiter = comet_rate_limiter_create(nullptr, &bounds, now_us);
 		comet_rate_limiter_set_teams(one.rate_limiter, table, now_us);
-		one.charges = comet_quota_requests_create(one.rate_limiter, address, &ops, &one);
+		one.quota_requests =
+			comet_quota_requests_create(one.rate_limiter, address, &ops, &one);
 	}
 
 	/* Kills and restarts all processes. */
@@ -178,7 +179,7 @@
 		auto *one = static_cast<vm *>(ctx);
 		auto *request = static_cast<pending_request *>(owner);
 		if (wait_ms == 0)
-			comet_rate_limiter_charged(one->rate_limiter, request->quota_request.team,
+			comet_rate_limiter_add_own(one->rate_limiter, request->quota_request.team,
 				request->quota_request.amount, one->cluster->now_us);
 		one->cluster->finish(request, wait_ms == 0);
 	}
@@ -242,16 +243,16 @@
 	send_quota_request(pending_request *request)
 	{
 		vm &sender = *request->sender;
-		uint32_t target = keeper;
-		while (comet_quota_requests_is_unresponsive(sender.charges, target, now_us))
+		uint32_t target = owner_vm;
+		while (comet_quota_requests_is_unresponsive(sender.quota_requests, target, now_us))
 			target++;
 		if (sender.address == target)
 			decide(request, COMET_RATE_LIMITER_OWNER);
 		else if (request->attempts++ >= 2)
 			decide(request, COMET_RATE_LIMITER_GOSSIP);
 		else
-			comet_quota_requests_send(
-				sender.charges, request, target, &request->quota_request, now_us);
+			comet_quota_requests_send(sender.quota_requests, request, target,
+				&request->quota_request, now_us);
 	}
 
 	void
@@ -266,8 +267,8 @@
 				continue;
 			ASSERT_TRUE(comet_datagram_decode(
 				(const uint8_t *)one.bytes.data(), one.bytes.size(), &datagram));
-			EXPECT_TRUE(
-				comet_quota_requests_receive(vms[one.to - 1].charges, &datagram));
+			EXPECT_TRUE(comet_quota_requests_receive(
+				vms[one.to - 1].quota_requests, &datagram));
 		}
 	}
 
@@ -329,7 +330,7 @@
 			for (size_t i = 0; i < vms.size(); i++)
 			{
 				set_vms(vms[i]);
-				comet_quota_requests_tick(vms[i].charges, now_us);
+				comet_quota_requests_tick(vms[i].quota_requests, now_us);
 				if ((now_us / step_us + i) % (gossip_interval_us / step_us) == 0)
 					send_report(vms[i]);
 			}
@@ -417,7 +418,7 @@
 	cluster.advance(9 * second_us, load_factors(2));
 	cluster.unreachable.insert(1);
 	cluster.advance(2 * second_us, load_factors(2));
-	cluster.keeper = 2;
+	cluster.owner_vm = 2;
 	cluster.advance(9 * second_us, load_factors(6));
 	expect_bounds(cluster);
 	EXPECT_EQ(rejected(cluster, "usual"), 0U);
@@ -475,28 +476,28 @@
 	std::vector<team> one = {{"t", 1000, 10, 10}};
 	fleet cluster(2, one);
 	uint32_t id = cluster.teams[0].id;
-	comet_rate_limiter *keeper = cluster.vms[0].rate_limiter;
+	comet_rate_limiter *owner_limiter = cluster.vms[0].rate_limiter;
 	uint32_t wait_ms = 1;
-	double before = comet_rate_limiter_remaining(keeper, id, cluster.now_us);
+	double before = comet_rate_limiter_remaining(owner_limiter, id, cluster.now_us);
 
-	EXPECT_TRUE(
-		comet_rate_limiter_charge_remote(keeper, 2, id, 0, 500, cluster.now_us, &wait_ms));
+	EXPECT_TRUE(comet_rate_limiter_charge_remote(
+		owner_limiter, 2, id, 0, 500, cluster.now_us, &wait_ms));
 	EXPECT_EQ(wait_ms, 0U);
-	EXPECT_EQ(comet_rate_limiter_remaining(keeper, id, cluster.now_us), before - 500);
-	comet_rate_limiter_merge_remote(keeper, 2, id, 700, cluster.now_us);
-	EXPECT_EQ(comet_rate_limiter_remaining(keeper, id, cluster.now_us), before - 700);
-	EXPECT_TRUE(
-		comet_rate_limiter_charge_remote(keeper, 2, id, 0, 300, cluster.now_us, &wait_ms));
-	comet_rate_limiter_refund_remote(keeper, 2, id, 300, cluster.now_us);
-	EXPECT_EQ(comet_rate_limiter_remaining(keeper, id, cluster.now_us), before - 700);
-	EXPECT_TRUE(
-		comet_rate_limiter_charge_remote(keeper, 2, id, 0, 300, cluster.now_us, &wait_ms));
+	EXPECT_EQ(comet_rate_limiter_remaining(owner_limiter, id, cluster.now_us), before - 500);
+	comet_rate_limiter_merge_remote(owner_limiter, 2, id, 700, cluster.now_us);
+	EXPECT_EQ(comet_rate_limiter_remaining(owner_limiter, id, cluster.now_us), before - 700);
+	EXPECT_TRUE(comet_rate_limiter_charge_remote(
+		owner_limiter, 2, id, 0, 300, cluster.now_us, &wait_ms));
+	comet_rate_limiter_refund_remote(owner_limiter, 2, id, 300, cluster.now_us);
+	EXPECT_EQ(comet_rate_limiter_remaining(owner_limiter, id, cluster.now_us), before - 700);
+	EXPECT_TRUE(comet_rate_limiter_charge_remote(
+		owner_limiter, 2, id, 0, 300, cluster.now_us, &wait_ms));
 	/* Charges from before the restart will not be reported any more. */
-	comet_rate_limiter_vm_restarted(keeper, 2);
-	comet_rate_limiter_merge_remote(keeper, 2, id, 100, cluster.now_us);
-	EXPECT_EQ(comet_rate_limiter_remaining(keeper, id, cluster.now_us), before - 1100);
+	comet_rate_limiter_vm_restarted(owner_limiter, 2);
+	comet_rate_limiter_merge_remote(owner_limiter, 2, id, 100, cluster.now_us);
+	EXPECT_EQ(comet_rate_limiter_remaining(owner_limiter, id, cluster.now_us), before - 1100);
 	EXPECT_FALSE(comet_rate_limiter_charge_remote(
-		keeper, 2, id + 1, 0, 1, cluster.now_us, &wait_ms));
+		owner_limiter, 2, id + 1, 0, 1, cluster.now_us, &wait_ms));
 }
 
 } // namespace
--- a/tests/unit/test_floor.cc
+++ b/tests/unit/test_load_shedding.cc
@@ -1,5 +1,5 @@
 /*
- * test_floor.cc
+ * test_load_shedding.cc
  * no VM sheds a tier while another keeps a lower one, whatever is late or lost
  */
 #include <gtest/gtest.h>
@@ -24,7 +24,7 @@
 {
 	static constexpr size_t n = 4;
 	static constexpr uint32_t tiers = 4;
-	struct comet_load_shedding floor[n];
+	struct comet_load_shedding load_shedding[n];
 	struct comet_member member[n][n];
 	uint64_t now = 1000000;
 	std::vector<Message> wire;
@@ -36,7 +36,7 @@
 	Fleet(unsigned int seed, unsigned int loss) : draw(seed), loss_percent(loss)
 	{
 		memset(member, 0, sizeof member);
-		for (auto &one : floor)
+		for (auto &one : load_shedding)
 			comet_load_shedding_init(&one, tiers);
 		for (int i = 0; i < 200; i++)
 			step();
@@ -49,7 +49,8 @@
 		if (split || draw() % 100 < loss_percent)
 			return;
 		wire.push_back({now + 1000 + draw() % 300000, from, to, reply, sent_us,
-			floor[from].keep_promised, floor[from].shed_promised, floor[from].want});
+			load_shedding[from].keep_promised, load_shedding[from].shed_promised,
+			load_shedding[from].want});
 	}
 
 	void
@@ -92,7 +93,7 @@
 				wire.erase(wire.begin() + (long)m);
 				receive(message);
 			}
-			comet_load_shedding_tick(&floor[i], others, count, now);
+			comet_load_shedding_tick(&load_shedding[i], others, count, now);
 			for (size_t k = 0; k < n; k++)
 			{
 				if (k != i && now / 20000 % 5 == i)
@@ -104,8 +105,8 @@
 	void
 	check(unsigned int seed)
 	{
-		for (const auto &shedding : floor)
-			for (const auto &keeping : floor)
+		for (const auto &shedding : load_shedding)
+			for (const auto &keeping : load_shedding)
 				ASSERT_LE(keeping.keep_below, shedding.shed_from + 1)
 					<< "seed " << seed << " at " << now;
 	}
@@ -117,19 +118,19 @@
 
 	for (int i = 0; i < 1000; i++)
 	{
-		comet_load_shedding_request(&fleet.floor[0], 1, fleet.now);
+		comet_load_shedding_request(&fleet.load_shedding[0], 1, fleet.now);
 		fleet.step();
 		fleet.check(1);
 	}
-	EXPECT_EQ(fleet.floor[0].shed_from, 1u);
-	for (auto &one : fleet.floor)
+	EXPECT_EQ(fleet.load_shedding[0].shed_from, 1u);
+	for (auto &one : fleet.load_shedding)
 		EXPECT_LE(one.keep_below, 2u);
 	for (int i = 0; i < 2000; i++)
 	{
 		fleet.step();
 		fleet.check(1);
 	}
-	for (auto &one : fleet.floor)
+	for (auto &one : fleet.load_shedding)
 		EXPECT_EQ(one.keep_below, 4u);
 }
 
@@ -140,11 +141,11 @@
 	fleet.cut = true;
 	for (int i = 0; i < 1000; i++)
 	{
-		comet_load_shedding_request(&fleet.floor[0], 1, fleet.now);
+		comet_load_shedding_request(&fleet.load_shedding[0], 1, fleet.now);
 		fleet.step();
 		fleet.check(1);
 	}
-	EXPECT_EQ(fleet.floor[0].shed_from, 3u);
+	EXPECT_EQ(fleet.load_shedding[0].shed_from, 3u);
 }
 
 TEST(Floor, NoInversionInRandomRuns)
@@ -157,7 +158,7 @@
 			size_t who = fleet.draw() % Fleet::n;
 			if (fleet.draw() % 3 == 0 && i / 300 % 2 == 0)
 				comet_load_shedding_request(
-					&fleet.floor[who], 1 + fleet.draw() % 3, fleet.now);
+					&fleet.load_shedding[who], 1 + fleet.draw() % 3, fleet.now);
 			if (fleet.draw() % 200 == 0)
 				fleet.cut = !fleet.cut;
 			if (fleet.draw() % 150 == 0)
--- a/tests/unit/test_overload.cc
+++ b/tests/unit/test_overload.cc
@@ -96,11 +96,11 @@
 		comet_placement_item *one = item.get();
 
 		one->service = "llm";
-		one->job = {(uint32_t)(profile.prompt * size(random)), profile.output,
+		one->size = {(uint32_t)(profile.prompt * size(random)), profile.output,
 			profile.output, true};
 		one->route_rank = rank;
 		one->dispatch_deadline_us = all.now_us + profile.patience_us * 3 / 4;
-		one->early_us = all.now_us + profile.soft_deadline_us / 4;
+		one->early_refusal_us = all.now_us + profile.soft_deadline_us / 4;
 		one->soft_deadline_us = all.now_us + profile.soft_deadline_us;
 		open_requests[one] = {address, rank, all.now_us, one->soft_deadline_us};
 		outcomes[rank].submitted++;
@@ -134,8 +134,8 @@
 			{
 				if (started.insert(sent.first).second)
 					engines[sent.second].runs.push_back({vm.first, sent.first,
-						(double)sent.first->job.prompt_tokens,
-						(double)sent.first->job.output_tokens});
+						(double)sent.first->size.prompt_tokens,
+						(double)sent.first->size.output_tokens});
 			}
 		}
 	}
@@ -210,7 +210,7 @@
 		for (auto &run : lost)
 		{
 			unreached++;
-			all.end(run.address, run.item, 0, 0, COMET_DISPATCH_UNREACHED);
+			all.end(run.address, run.item, 0, 0, COMET_DISPATCH_UNREACHABLE);
 			started.erase(run.item);
 			if (open_requests.count(run.item) != 0)
 				comet_placement_submit(
--- a/tests/unit/test_readers.cc
+++ b/tests/unit/test_reader_election.cc
@@ -1,5 +1,5 @@
 /*
- * test_readers.cc
+ * test_reader_election.cc
  * tests of the reader election of a zone, in virtual time
  */
 #include <gtest/gtest.h>
@@ -54,7 +54,7 @@
 	add_report(1, 100);
 	state.zone_vms = 7;
 	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_DIRECT);
-	state.better = 0;
+	state.preferred = 0;
 	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_DIRECT);
 	state.zone_vms = 8;
 	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_READER);
@@ -62,16 +62,16 @@
 
 TEST_F(ReaderElectionTest, TwoVmsAreReadersUnlessTheyStop)
 {
-	state.better = 1;
+	state.preferred = 1;
 	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_READER);
 	state.leaving = true;
 	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_FALLBACK) << "it has no report of another reader";
 	state.leaving = false;
-	state.better = 2;
+	state.preferred = 2;
 	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_FALLBACK);
 	add_report(1, 100);
 	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_FOLLOWER);
-	state.listed = false;
+	state.has_list = false;
 	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_DIRECT) << "a VM reads the first list itself";
 }
 
@@ -122,7 +122,7 @@
 {
 	add_report(1, 200);
 	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_FOLLOWER);
-	EXPECT_EQ(comet_reader_election_ahead(reader_election, 100, now_us), 1U);
+	EXPECT_EQ(comet_reader_election_find_ahead(reader_election, 100, now_us), 1U);
 	for (int i = 0; i < 6; i++, now_us += 100 * ms)
 	{
 		add_report(1, 200);
@@ -132,8 +132,8 @@
 	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_FALLBACK);
 	state.position = 200;
 	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_FOLLOWER);
-	EXPECT_EQ(comet_reader_election_ahead(reader_election, 200, now_us), 0U);
-	comet_reader_election_failed(reader_election, now_us);
+	EXPECT_EQ(comet_reader_election_find_ahead(reader_election, 200, now_us), 0U);
+	comet_reader_election_report_failure(reader_election, now_us);
 	EXPECT_EQ(decide(), COMET_DIRECTORY_MODE_FALLBACK);
 	now_us += 1000 * ms;
 	add_report(1, 200);
@@ -147,11 +147,11 @@
 		add_report(vm, 100 + vm);
 		now_us += 10 * ms;
 	}
-	EXPECT_EQ(comet_reader_election_ahead(reader_election, 100, now_us), 20U);
+	EXPECT_EQ(comet_reader_election_find_ahead(reader_election, 100, now_us), 20U);
 	add_report(3, 300);
-	EXPECT_EQ(comet_reader_election_ahead(reader_election, 100, now_us), 3U);
+	EXPECT_EQ(comet_reader_election_find_ahead(reader_election, 100, now_us), 3U);
 	now_us += 1000 * ms;
-	EXPECT_EQ(comet_reader_election_ahead(reader_election, 100, now_us), 0U);
+	EXPECT_EQ(comet_reader_election_find_ahead(reader_election, 100, now_us), 0U);
 }
 
 /* Followers requested a document from any reader, in half of the cases from one that had not read
@@ -178,12 +178,12 @@
 {
 	comet_reader_report report = {1, 200, 150, 0};
 	comet_reader_election_report(reader_election, &report, now_us);
-	EXPECT_EQ(comet_reader_election_ahead(reader_election, 200, now_us), 0U);
-	EXPECT_EQ(comet_reader_election_ahead_complete(reader_election, 150, now_us), 0U);
+	EXPECT_EQ(comet_reader_election_find_ahead(reader_election, 200, now_us), 0U);
+	EXPECT_EQ(comet_reader_election_find_complete(reader_election, 150, now_us), 0U);
 	report.complete = 200;
 	comet_reader_election_report(reader_election, &report, now_us);
-	EXPECT_EQ(comet_reader_election_ahead(reader_election, 200, now_us), 0U);
-	EXPECT_EQ(comet_reader_election_ahead_complete(reader_election, 150, now_us), 1U);
+	EXPECT_EQ(comet_reader_election_find_ahead(reader_election, 200, now_us), 0U);
+	EXPECT_EQ(comet_reader_election_find_complete(reader_election, 150, now_us), 1U);
 	state.position = 200;
 	for (int i = 0; i < 20; i++, now_us += 100 * ms)
 	{
--- a/tests/unit/test_slow_start.cc
+++ b/tests/unit/test_slow_start.cc
@@ -115,7 +115,7 @@
 			std::string id = "i" + std::to_string(i);
 			comet_instance_record record = {id.c_str(), "llm", "127.0.0.1:1", "z",
 				grants_fleet::slots, 3000, false, 0};
-			comet_instances_put(one.second.instances, &record, cold_us);
+			comet_instances_update(one.second.instances, &record, cold_us);
 		}
 	load.run(3 * second_us, 20);
 	EXPECT_LE(max_within_a_second(load.all, cold_us + second_us), 15U);
@@ -141,7 +141,7 @@
 {
 	short_requests load(6, 4);
 	load.run(4 * second_us, 3);
-	load.run(second_us / 2, 20, COMET_DISPATCH_UNREACHED);
+	load.run(second_us / 2, 20, COMET_DISPATCH_UNREACHABLE);
 	uint64_t back_us = load.all.now_us;
 	load.run(2 * second_us, 20);
 	EXPECT_LE(max_within_a_second(load.all, back_us), 15U);
@@ -164,7 +164,7 @@
 TEST(SlowStart, AnOwnerThatFailsDuringABurst)
 {
 	short_requests load(6, 4);
-	uint32_t owner = load.all.keeper_of_all(1);
+	uint32_t owner = load.all.owner_of(1);
 	bool owner_failed = false;
 	load.all.lost = [&](const grants_fleet::mail &one)
 	{ return owner_failed && (one.from == owner || one.to == owner); };
