--- a/libcometspindle/node/node_dispatch.c
+++ b/libcometspindle/node/node_dispatch.c
@@ -51,7 +51,7 @@
 	comet_log(COMET_LOG_INFO,
 		"event=dispatch request=%08x.%012" PRIx64
 		" team=%s tier=%u endpoint=%s policy=%s waited_us=%" PRIu64 " slack_us=%" PRId64
-		" failed_attempts=%u",
+		" try=%u",
 		(uint32_t)node->self_id, request->submission.request,
 		comet_node_team_name(node, request->submission.team_id), request->submission.tier,
 		endpoint->name, node->policy->ops->name, node->now.mono_us - request->arrived_us,
--- a/libcometspindle/node/node_request.c
+++ b/libcometspindle/node/node_request.c
@@ -108,7 +108,7 @@
 			(uint32_t)node->self_id, id);
 	comet_log(COMET_LOG_INFO,
 		"event=refuse request=%08x.%012" PRIx64
-		" team=%s tier=%u code=%s verdict=%s waited_us=%" PRIu64 " failed_attempts=%u",
+		" team=%s tier=%u code=%s verdict=%s waited_us=%" PRIu64 " tries=%u",
 		(uint32_t)node->self_id, id,
 		comet_node_team_name(node, request->submission.team_id), request->submission.tier,
 		comet_refusal_name(refusal), comet_verdict_name(verdict),
