--- a/tests/system/test_directory.py
+++ b/tests/system/test_directory.py
@@ -89,6 +89,8 @@
     assert status == 503 and float(headers["retry-after"]) > 0
     store.put("op/config", document(1))
     server = Server(store, "i-0", "svc")
+    # no_routes is reported from the start, possibly before the first call to the store
+    wait_for(lambda: b"event=directory_lost" in gateway.log_text())
     store.down = False
     wait_for(gateway.ready)
     store.down = True
