--- a/tests/system/test_suspended.py
+++ b/tests/system/test_suspended.py
@@ -14,6 +14,12 @@
 from suspended_clock import SuspendedClock
 
 
+def directory_revision(world):
+    """Returns the store revision up to which the gateway has read."""
+    text = get(world.gateway.ports["control"], "/metrics")[2].decode()
+    return int(re.search(r"^comet_directory_revision (\d+)$", text, re.M).group(1))
+
+
 class Suspendable(World):
     """A gateway with one server of one slot, and a clock that can simulate a suspension of the VM."""
 
@@ -21,6 +27,7 @@
         self.clock = SuspendedClock(BUILD)
         super().__init__(servers=1, env=self.clock.environment())
         self.servers[0].publish(slots=1)
+        wait_for(lambda: directory_revision(self) == self.store.revision)
 
     def stop(self):
         self.gateway.process.send_signal(signal.SIGSTOP)
