--- a/libcometspindle/node/node.c
+++ b/libcometspindle/node/node.c
@@ -212,15 +212,15 @@
 comet_node_not_ready(const struct comet_node *node)
 {
 	if (node->bundle == NULL)
-		return "no bundle received from the platform or from a peer";
+		return "no bundle yet: neither the platform's service nor a peer gave one";
 	if (node->n_vm_ids == 0)
-		return "no VM list received from the platform";
+		return "no list of VMs yet: the platform's service did not give one";
 	if (!node->listed)
-		return "this VM is not in the VM list of the platform";
+		return "this VM is not in the platform's list";
 	if (!all_peers_seen(node) && node->last_tick_us - node->started_us < PEER_WAIT_MAX_US)
-		return "waiting for peers to report their bundle versions";
+		return "asking peers whether a newer bundle is in force";
 	if (!node->shedding.joined)
-		return "waiting for peers to report which tiers are being shed";
+		return "asking peers which tiers are being shed";
 	if (node->stopping)
 		return "stopping";
 	return NULL;
