--- a/libcometspindle/gateway/placement/placement_item.h
+++ b/libcometspindle/gateway/placement/placement_item.h
@@ -117,8 +117,9 @@
 	uint64_t waited_us;
 	uint64_t gossip_age_us; /**< Age of the load information. */
 	double cost;            /**< Estimated cost of the picked instance, in microseconds. */
-	bool deferred;          /**< No instance was picked: those with capacity would miss the soft
-				   deadline,        and a full one would meet it. */
+	/** No instance was picked: the instances with capacity would miss the soft deadline, and an
+	 * instance without capacity would meet it. */
+	bool deferred;
 };
 
 #endif
