--- a/libcometspindle/adapters/callers/worker_private.h
+++ b/libcometspindle/adapters/callers/worker_private.h
@@ -84,7 +84,7 @@
 	size_t overlap; /**< of its answer's first bytes: the caller has them already */
 };
 
-/* traffic_call.c */
+/* worker_call.c and worker_refuse.c */
 
 /** The whole body is here: parse, check, submit. */
 enum MHD_Result
@@ -107,7 +107,7 @@
 void
 comet_call_notify_control(struct comet_call *call, struct comet_control_message *message);
 
-/* traffic_answer.c */
+/* worker_response.c */
 
 /** Queues the endpoint's answer. */
 enum MHD_Result
@@ -125,7 +125,7 @@
 void
 comet_call_free_if_over(struct comet_call *call);
 
-/* traffic_pages.c */
+/* worker_pages.c */
 
 /** GET answers that need no call: entries, status, metrics, health. */
 enum MHD_Result
--- a/libcometspindle/adapters/daemon/daemon_private.h
+++ b/libcometspindle/adapters/daemon/daemon_private.h
@@ -42,7 +42,7 @@
 	bool over;
 };
 
-/** Builds and publishes a view for the traffic threads (daemon_view.c). */
+/** Builds and publishes a snapshot for the worker threads (daemon_snapshot.c). */
 void
 comet_daemon_publish(struct comet_daemon *daemon);
 
--- a/libcometspindle/adapters/gateway/gateway_private.h
+++ b/libcometspindle/adapters/gateway/gateway_private.h
@@ -43,11 +43,11 @@
 	uint64_t relayed_errors;
 	uint64_t refused_early;       /**< not run, with a time to retry after */
 	uint64_t refused_team;        /**< over the team's limit */
-	uint64_t refused_quarantined; /**< quarantined: it crashes endpoints */
+	uint64_t refused_quarantined; /**< quarantined, because they crash endpoints */
 	uint64_t refused_other;
 	uint64_t failed;               /**< may have run, without a complete response */
 	uint64_t aborted;              /**< the response could not be completed */
-	uint64_t callers_disconnected; /**< the caller left */
+	uint64_t callers_disconnected; /**< the caller disconnected */
 	uint64_t directory_calls[COMET_DIRECTORY_CALLS]; /**< by result */
 	uint64_t directory_losses;                       /**< outages of the directory */
 	uint64_t unreadable;                             /**< invalid items of the directory */
--- a/libcometspindle/adapters/gateway/proxy_request.h
+++ b/libcometspindle/adapters/gateway/proxy_request.h
@@ -36,7 +36,7 @@
 	uint64_t quota_amount;        /* charged to the team, in the unit of its limit */
 	/** Called once the request has been charged. */
 	void (*on_admitted)(struct comet_proxy_request *proxy, uint64_t now_us);
-	uint32_t owners_tried;   /* owners that were sent a quota request for it */
+	uint32_t owners_tried;   /* owners that were sent a quota request */
 	uint32_t quota_owner_vm; /* VM that charged the request; 0 if this VM did */
 	uint64_t arrived_us;
 	uint64_t deadline_us; /* the caller stops waiting */
--- a/libcometspindle/gateway/placement/grants.h
+++ b/libcometspindle/gateway/placement/grants.h
@@ -8,7 +8,7 @@
  * the other VMs request a slot from the owner before they dispatch.
  *
  * A grant is advisory, not a lock. A slot request that is not answered in time
- * expires, and the request is placed by gossip instead, so a lost datagram or a
+ * expires, and the request is placed by gossip instead, so a lost datagram or an
  * unreachable owner costs a few milliseconds. This module uses no sockets and no clock.
  */
 #ifndef COMETSPINDLE_GATEWAY_GRANTS_H
