--- a/libcometspindle/gateway/placement/placement_state.h
+++ b/libcometspindle/gateway/placement/placement_state.h
@@ -101,7 +101,8 @@
 /**
  * Finds a slot: free slots in any shard first, then places in the queues of endpoints. A queued
  * item for which there is neither waits at one of the owners.
- * @return the instance; NULL: no capacity, or a slot request was sent and item->asking is set
+ * @return the instance; NULL: no capacity, or a slot request was sent and
+ * item->slot_requested is set
  */
 struct comet_instance *
 comet_placement_find(
--- a/libcometspindle/membership.h
+++ b/libcometspindle/membership.h
@@ -48,7 +48,7 @@
 	uint64_t ping_sent_us; /**< unanswered probe; 0: none */
 	uint64_t suspect_us;   /**< since when it is suspect */
 	uint64_t bundle_version;
-	/* its floor promises, counted from when our ping left (see floor.h) */
+	/* floor promises of the listed VM, counted from when our ping was sent */
 	uint32_t keep_below;
 	uint32_t shed_from;
 	uint32_t want_floor;
