--- a/libcometspindle/adapters/gateway/gateway.c
+++ b/libcometspindle/adapters/gateway/gateway.c
@@ -1,6 +1,6 @@
 /*
  * gateway.c
- * a VM that relays plain HTTP: reads its routes and endpoints from a directory
+ * the gateway process: sockets, signals, the event loop and the shutdown of a plain HTTP proxy
  */
 #include <libcometspindle/adapters/gateway/gateway_crashes.h>
 
@@ -14,59 +14,61 @@
 #include <string.h>
 #include <talloc.h>
 
-/* How often waiting requests, views and silent VMs are looked at: half the shortest interval of
- * views. */
+/* Interval of the periodic work on queued requests, gossip and unreachable VMs: half the shortest
+ * gossip interval. */
 #define TICK_US 50000
 
-/* A stop ends this long before the process would be killed. */
+/* A shutdown ends this long before the end of the grace period, when the process would be killed.
+ */
 #define STOP_MARGIN_US 400000
 
-/* Answers to other VMs and to the readiness check are small and quick. */
-#define SMALL_TIMEOUT_MS 3000
-#define SMALL_HEADER_BYTES (16 * 1024)
+/* Requests of other VMs and of the readiness check are small and arrive quickly. */
+#define HEADER_TIMEOUT_MS 3000
+#define HEADER_BYTES_MAX (16 * 1024)
 #define IDLE_TIMEOUT_MS 20000
 
-/* What is asked on the internal addresses has no body. */
-#define INTERNAL_BODY_BYTES 0
+/* Requests on the internal addresses have no body. */
+#define INTERNAL_BODY_BYTES_MAX 0
 
-/* Bounds of what is asked on the internal addresses. */
+/* Limits for requests on the internal addresses. */
 static const struct comet_http_limits internal_limits = {
-	.header_bytes = SMALL_HEADER_BYTES,
-	.body_bytes = INTERNAL_BODY_BYTES,
-	.header_timeout_ms = SMALL_TIMEOUT_MS,
+	.header_bytes = HEADER_BYTES_MAX,
+	.body_bytes = INTERNAL_BODY_BYTES_MAX,
+	.header_timeout_ms = HEADER_TIMEOUT_MS,
 	.idle_timeout_ms = IDLE_TIMEOUT_MS,
 };
 
-/* Bounds before the first routing document is read. */
-static const struct comet_http_limits first_limits = {
-	.header_bytes = SMALL_HEADER_BYTES,
+/* Limits for callers until the first routing document is in force. */
+static const struct comet_http_limits initial_limits = {
+	.header_bytes = HEADER_BYTES_MAX,
 	.body_bytes = 4 * 1024 * 1024,
-	.header_timeout_ms = SMALL_TIMEOUT_MS,
+	.header_timeout_ms = HEADER_TIMEOUT_MS,
 	.idle_timeout_ms = IDLE_TIMEOUT_MS,
 };
 
-/* A process that starts has found the others once no new one has come up for some rounds of views,
- * and at the latest after the second time. Until then it shares sums with at least so many: all may
- * have started at once, and each knows only itself. */
-#define FOUND_AFTER_US 200000
-#define FOUND_AFTER_ROUNDS 2
-#define FIND_LONGEST_US 4000000
-#define VMS_ASSUMED 128
-
-/* A turn of the loop takes milliseconds, and waits for a tick at most: one of this length shows
- * that the process did not run. */
-#define AWAY_US 400000
-
-/* What arrived while it was away is handled for so long before timers are: reading all connections
- * of a busy VM takes a few milliseconds. */
+/* After the start, discovery is complete once no further VM has appeared for the quiet time or for
+ * some gossip rounds, and at the latest after DISCOVERY_MAX_US. Until then this VM divides shared
+ * limits by at least DISCOVERY_ASSUMED_VMS: all VMs may have started at once, and each would count
+ * only itself. */
+#define DISCOVERY_QUIET_US 200000
+#define DISCOVERY_QUIET_ROUNDS 2
+#define DISCOVERY_MAX_US 4000000
+#define DISCOVERY_ASSUMED_VMS 128
+
+/* An iteration of the event loop takes milliseconds and waits for a tick at most. A longer one
+ * shows that the process did not run. */
+#define PAUSE_MIN_US 400000
+
+/* After a pause, input is handled for this time before timers fire, so that a response that has
+ * arrived precedes its deadline. Reading all connections of a busy VM takes a few milliseconds. */
 #define CATCH_UP_US 20000
 
-/* Bounds of the time for which a reader of the directory is followed: some of its calls, and less
- * than a change may take to be in force. */
-#define FOLLOWED_MIN_MS 500
-#define FOLLOWED_MAX_MS 2000
+/* Bounds of the time for which a directory reader is followed after its last response: it covers
+ * several calls of the reader, and is shorter than a change may take to be in force. */
+#define READER_TIMEOUT_MIN_MS 500
+#define READER_TIMEOUT_MAX_MS 2000
 
-/* Most seeds that a settings file names usefully. */
+/* More seeds than this are of no use: further ones in the settings are ignored. */
 #define SEEDS_MAX 16
 
 static void
@@ -79,36 +81,38 @@
 	if (!comet_datagram_decode(data, length, &datagram))
 		comet_log(COMET_LOG_WARNING, "event=datagram_malformed bytes=%zu", length);
 	else if (datagram.which_body == comet_Datagram_news_tag)
-		comet_gateway_take_report(gateway, &datagram.body.news, now_us);
+		comet_gateway_handle_report(gateway, &datagram.body.news, now_us);
 	else if (datagram.which_body != comet_Datagram_view_tag &&
-		 !comet_charges_receive(gateway->charges, &datagram))
+		 !comet_quota_requests_receive(gateway->quota_requests, &datagram))
 		comet_grants_receive(gateway->grants, &datagram);
 	else if (datagram.which_body == comet_Datagram_view_tag &&
-		 !comet_views_receive(gateway->views, &datagram.body.view, now_us))
-		comet_log(COMET_LOG_WARNING, "event=view_malformed bytes=%zu", length);
+		 !comet_gossip_receive(gateway->gossip, &datagram.body.view, now_us))
+		comet_log(COMET_LOG_WARNING, "event=gossip_message_malformed bytes=%zu", length);
 }
 
 static void
-send_view(void *ctx, uint32_t address, const uint8_t *data, size_t length)
+send_gossip(void *ctx, uint32_t address, const uint8_t *data, size_t length)
 {
 	struct comet_gateway *gateway = ctx;
 
-	comet_view_link_send(gateway->link, address, data, length);
+	comet_datagram_socket_send(gateway->datagram_socket, address, data, length);
 }
 
 static void
-on_vm_changed(void *ctx, uint32_t address, bool there, const char *why)
+on_vm_changed(void *ctx, uint32_t address, bool alive, const char *why)
 {
-	char text[COMET_VIEW_ADDRESS_MAX];
+	char text[COMET_IPV4_TEXT_BYTES];
 
 	(void)ctx;
 	comet_log_repeated(COMET_LOG_NOTICE, "event=vm_%s vm=%s reason=%s",
-		there ? "heard" : "lost", comet_view_link_text(address, text), why);
+		alive ? "heard" : "lost", comet_datagram_socket_format_address(address, text), why);
 }
 
-static const struct comet_views_ops views_ops = {.send = send_view, .changed = on_vm_changed};
+static const struct comet_gossip_ops gossip_ops = {
+	.send = send_gossip, .peer_state_changed = on_vm_changed};
 
-/* Goes on with a stop: closes what is idle, and ends once nothing is open. */
+/* Continues a shutdown: closes idle connections, and ends the loop once nothing is open or the
+ * grace period is nearly over. */
 static void
 continue_stop(struct comet_gateway *gateway, uint64_t now_us)
 {
@@ -118,54 +122,57 @@
 	if (passed_us < (uint64_t)gateway->settings->leave_ms * 1000)
 		return;
 	gateway->refusing = true;
-	comet_front_stop_listening(gateway->callers);
-	comet_front_close_idle(gateway->callers);
-	bool open = gateway->calls > 0 || comet_front_counts(gateway->callers)->connections > 0;
+	comet_http_server_stop_listening(gateway->callers);
+	comet_http_server_close_idle(gateway->callers);
+	bool open = gateway->open_request_count > 0 ||
+		    comet_http_server_counts(gateway->callers)->connections > 0;
 	if (open && passed_us + STOP_MARGIN_US < grace_us)
 		return;
 	comet_log(COMET_LOG_NOTICE, "event=stopped open=%u after_ms=%" G_GUINT64_FORMAT,
-		gateway->calls, passed_us / 1000);
-	gateway->over = true;
+		gateway->open_request_count, passed_us / 1000);
+	gateway->stopped = true;
 }
 
-/* Is this process still finding out who else is there? One that has heard nobody is, as long as its
- * seeds may only be late: taken for the only VM, it spent all of each team's limit by itself. */
+/* Returns whether this process is still discovering other VMs. A VM that has received no gossip
+ * message from any known VM keeps discovering, since its seeds may only be late: when it took
+ * itself for the only VM, it spent the complete limit of each team alone. */
 static bool
-is_finding(struct comet_gateway *gateway, uint32_t heard, uint32_t known, uint64_t now_us)
+is_discovering(struct comet_gateway *gateway, uint32_t alive, uint32_t known, uint64_t now_us)
 {
-	if (heard > gateway->heard_vms)
+	if (alive > gateway->peak_alive_vms)
 	{
-		gateway->heard_vms = heard;
-		gateway->found_us = heard > 1 ? now_us : 0;
+		gateway->peak_alive_vms = alive;
+		gateway->discovered_us = alive > 1 ? now_us : 0;
 	}
-	uint64_t last_us = MAX(gateway->found_us, gateway->began_us);
-	uint64_t quiet_us =
-		MAX(FOUND_AFTER_US, FOUND_AFTER_ROUNDS * comet_views_interval_us(gateway->views));
-	bool unheard = heard < known && gateway->found_us == 0;
+	uint64_t last_us = MAX(gateway->discovered_us, gateway->began_us);
+	uint64_t quiet_us = MAX(DISCOVERY_QUIET_US,
+		DISCOVERY_QUIET_ROUNDS * comet_gossip_interval_us(gateway->gossip));
+	bool unheard = alive < known && gateway->discovered_us == 0;
 	return (now_us - last_us < quiet_us || unheard) &&
-	       now_us - gateway->began_us < FIND_LONGEST_US;
+	       now_us - gateway->began_us < DISCOVERY_MAX_US;
 }
 
-/* Shares sums with the VMs that there are, or must be taken to be there. */
+/* Sets the numbers of VMs among which shared limits are divided; during discovery, assumed ones. */
 static void
-set_vms(struct comet_gateway *gateway, uint32_t heard, uint32_t known, uint64_t now_us)
+set_vms(struct comet_gateway *gateway, uint32_t alive, uint32_t known, uint64_t now_us)
 {
-	bool finding = is_finding(gateway, heard, known, now_us);
-
-	if (gateway->finding && !finding)
-		comet_log(COMET_LOG_NOTICE, "event=vms_found vms=%u after_ms=%" G_GUINT64_FORMAT,
-			known, (now_us - gateway->began_us) / 1000);
-	gateway->finding = finding;
-	if (finding)
+	bool discovering = is_discovering(gateway, alive, known, now_us);
+
+	if (gateway->discovering && !discovering)
+		comet_log(COMET_LOG_NOTICE,
+			"event=discovery_complete vms=%u after_ms=%" G_GUINT64_FORMAT, known,
+			(now_us - gateway->began_us) / 1000);
+	gateway->discovering = discovering;
+	if (discovering)
 	{
-		known = MAX(known, VMS_ASSUMED);
-		heard = known;
+		known = MAX(known, DISCOVERY_ASSUMED_VMS);
+		alive = known;
 	}
-	comet_allowance_set_vms(gateway->allowance, heard, known,
-		finding ? 0 : comet_views_silent_since_us(gateway->views));
+	comet_rate_limiter_set_vms(gateway->rate_limiter, alive, known,
+		discovering ? 0 : comet_gossip_unreachable_since_us(gateway->gossip));
 	comet_retry_budget_set_vms(gateway->retries, known);
-	comet_placement_set_vms(gateway->placement, heard, known);
-	gateway->directory->ops->set_vms(gateway->directory, heard);
+	comet_placement_set_vms(gateway->placement, alive, known);
+	gateway->directory->ops->set_vms(gateway->directory, alive);
 }
 
 static void
@@ -174,18 +181,18 @@
 	struct comet_gateway *gateway = ctx;
 	uint64_t now_us = comet_timers_now_us();
 	uint32_t known = 0;
-	uint32_t heard = 0;
+	uint32_t alive = 0;
 
 	comet_timers_add(gateway->timers, gateway, TICK_US, on_tick, gateway);
 	comet_log_tick();
-	comet_views_tick(gateway->views, now_us);
-	comet_views_count(gateway->views, &known, &heard);
-	set_vms(gateway, heard + 1, known + 1, now_us);
+	comet_gossip_tick(gateway->gossip, now_us);
+	comet_gossip_count_peers(gateway->gossip, &known, &alive);
+	set_vms(gateway, alive + 1, known + 1, now_us);
 	comet_gateway_tick_endpoints(gateway, now_us);
-	comet_crashes_tick(gateway->crashes, now_us);
-	comet_relay_refuse_barred(gateway);
+	comet_crash_tracker_tick(gateway->crash_tracker, now_us);
+	comet_proxy_request_refuse_all_quarantined(gateway);
 	comet_placement_run(gateway->placement, now_us);
-	comet_gateway_tick_readers(gateway, now_us);
+	comet_gateway_tick_reader_election(gateway, now_us);
 	comet_gateway_resync(gateway, now_us);
 	if (gateway->stop_us != 0)
 		continue_stop(gateway, now_us);
@@ -204,9 +211,10 @@
 	if (gateway->stop_us != 0)
 		return;
 	gateway->stop_us = comet_timers_now_us();
-	comet_log(COMET_LOG_NOTICE, "event=stopping signal=%d open=%u", number, gateway->calls);
-	comet_front_set_closing(gateway->callers);
-	comet_views_leave(gateway->views, gateway->stop_us);
+	comet_log(COMET_LOG_NOTICE, "event=stopping signal=%d open=%u", number,
+		gateway->open_request_count);
+	comet_http_server_set_draining(gateway->callers);
+	comet_gossip_leave(gateway->gossip, gateway->stop_us);
 }
 
 static void
@@ -229,19 +237,19 @@
 	g_free(text);
 	if (settings == NULL)
 	{
-		comet_log(
-			COMET_LOG_ERR, "event=reload_failed error=\"%s\" kept=old", error->message);
+		comet_log(COMET_LOG_ERR, "event=reload_failed error=\"%s\" settings=unchanged",
+			error->message);
 		g_clear_error(&error);
 		return;
 	}
-	/* Addresses cannot change in a running process; the log's level and bounds can. */
+	/* Addresses cannot change in a running process; the log level and the log budget can. */
 	comet_log_set_level((enum comet_log_level)settings->log_level);
 	comet_log_set_budget(settings->log_lines_per_s);
 	comet_log(COMET_LOG_NOTICE, "event=reloaded path=%s", gateway->settings_path);
 	talloc_free(settings);
 }
 
-/* Reads the addresses of the seeds; their ports are those of another service. */
+/* Parses the seed addresses. Their ports are ignored: they belong to another service. */
 static size_t
 read_seeds(const char *text, uint32_t seeds[SEEDS_MAX])
 {
@@ -263,90 +271,93 @@
 }
 
 static void
-create_views(struct comet_gateway *gateway)
+create_gossip(struct comet_gateway *gateway)
 {
 	uint32_t seeds[SEEDS_MAX];
-	struct comet_views_config config = {
-		.address = comet_view_link_address(gateway->link),
+	struct comet_gossip_config config = {
+		.address = comet_datagram_socket_address(gateway->datagram_socket),
 		.seeds = seeds,
 		.n_seeds = read_seeds(gateway->settings->seeds, seeds),
 		.now_us = gateway->began_us,
-		.window_ms = gateway->settings->allowance.window_ms,
+		.window_ms = gateway->settings->rate_limiter.window_ms,
 		.zone = gateway->settings->zone,
 		.near_bytes_per_s = gateway->settings->near_bytes_per_s,
 		.far_bytes_per_s = gateway->settings->far_bytes_per_s,
 		.cpu_percent = gateway->settings->cpu_percent,
-		.crashes = gateway->crashes,
+		.crash_tracker = gateway->crash_tracker,
 	};
 
 	randombytes_buf(&config.incarnation, sizeof config.incarnation);
-	gateway->views = comet_views_create(
-		gateway, &config, gateway->instances, gateway->allowance, &views_ops, gateway);
+	gateway->gossip = comet_gossip_create(
+		gateway, &config, gateway->instances, gateway->rate_limiter, &gossip_ops, gateway);
 	gateway->grants =
 		comet_grants_create(gateway, config.address, &comet_gateway_grants_ops, gateway);
-	gateway->charges =
-		comet_charges_create(gateway, config.address, &comet_gateway_charges_ops, gateway);
+	gateway->quota_requests = comet_quota_requests_create(
+		gateway, config.address, &comet_gateway_quota_ops, gateway);
 }
 
-/* Opens what the gateway listens on. @return false with error set. */
+/* Opens the listening sockets. @return false with error set. */
 static bool
 open_sockets(struct comet_gateway *gateway, GError **error)
 {
 	const struct comet_gateway_settings *settings = gateway->settings;
 
-	gateway->callers = comet_front_create(gateway, gateway->ev, gateway->timers,
+	gateway->callers = comet_http_server_create(gateway, gateway->ev, gateway->timers,
 		settings->callers, &comet_gateway_caller_events, gateway, error);
 	if (gateway->callers == NULL)
 		return false;
-	gateway->readiness = comet_front_create(gateway, gateway->ev, gateway->timers,
+	gateway->readiness = comet_http_server_create(gateway, gateway->ev, gateway->timers,
 		settings->readiness, &comet_gateway_readiness_events, gateway, error);
 	if (gateway->readiness == NULL)
 		return false;
-	gateway->control = comet_front_create(gateway, gateway->ev, gateway->timers,
+	gateway->control = comet_http_server_create(gateway, gateway->ev, gateway->timers,
 		settings->control, &comet_gateway_control_events, gateway, error);
 	if (gateway->control == NULL)
 		return false;
-	comet_front_count(gateway->callers, &gateway->bytes[COMET_GATEWAY_USE_CALLERS]);
-	comet_front_count(gateway->control, &gateway->bytes[COMET_GATEWAY_USE_PEERS]);
-	comet_front_set_limits(gateway->callers, &first_limits);
-	comet_front_set_limits(gateway->readiness, &internal_limits);
-	comet_front_set_limits(gateway->control, &internal_limits);
-	gateway->link = comet_view_link_create(
+	comet_http_server_set_byte_counters(
+		gateway->callers, &gateway->bytes[COMET_GATEWAY_USE_CALLERS]);
+	comet_http_server_set_byte_counters(
+		gateway->control, &gateway->bytes[COMET_GATEWAY_USE_PEERS]);
+	comet_http_server_set_limits(gateway->callers, &initial_limits);
+	comet_http_server_set_limits(gateway->readiness, &internal_limits);
+	comet_http_server_set_limits(gateway->control, &internal_limits);
+	gateway->datagram_socket = comet_datagram_socket_create(
 		gateway, gateway->ev, settings->peers, on_datagram, gateway, error);
-	return gateway->link != NULL;
+	return gateway->datagram_socket != NULL;
 }
 
-/* How long a VM that reads the directory for others is followed after the directory has answered
- * it: a quarter of the time in which the directory's word is whole again after trouble, so that who
- * loses its readers then has read for itself in half of that. */
+/* Returns how long a directory reader is followed after the directory last answered it. This is a
+ * quarter of the time in which the directory is complete again after an outage, so that a follower
+ * that loses its readers has read the directory itself within half of that time. */
 static uint32_t
 followed_ms(const struct comet_gateway_settings *settings)
 {
-	return CLAMP(settings->settled_ms / 4, FOLLOWED_MIN_MS, FOLLOWED_MAX_MS);
+	return CLAMP(settings->settled_ms / 4, READER_TIMEOUT_MIN_MS, READER_TIMEOUT_MAX_MS);
 }
 
 static void
-create_decisions(struct comet_gateway *gateway)
+create_components(struct comet_gateway *gateway)
 {
 	const struct comet_gateway_settings *settings = gateway->settings;
 
 	gateway->instances = comet_instances_create(gateway, settings->zone);
-	gateway->lives = comet_lives_create(gateway);
+	gateway->incarnations = comet_incarnations_create(gateway);
 	gateway->evacuations = comet_evacuations_create(
 		gateway, gateway->instances, comet_gateway_zone_restored, gateway);
-	gateway->allowance =
-		comet_allowance_create(gateway, &settings->allowance, comet_timers_now_us());
+	gateway->rate_limiter =
+		comet_rate_limiter_create(gateway, &settings->rate_limiter, comet_timers_now_us());
 	gateway->retries = comet_retry_budget_create(gateway, &settings->retries);
-	gateway->readers = comet_readers_create(
-		gateway, (uint64_t)followed_ms(settings) * 1000, comet_draw_u32(&gateway->draw));
-	gateway->crashes = comet_crashes_create(gateway, &comet_gateway_crashes_ops, gateway);
+	gateway->reader_election = comet_reader_election_create(gateway,
+		(uint64_t)followed_ms(settings) * 1000, comet_random_u32(&gateway->random));
+	gateway->crash_tracker =
+		comet_crash_tracker_create(gateway, &comet_gateway_crashes_ops, gateway);
 	gateway->placement = comet_placement_create(gateway, gateway->instances,
-		&comet_gateway_placement_ops, gateway, comet_draw_u32(&gateway->draw));
+		&comet_gateway_placement_ops, gateway, comet_random_u32(&gateway->random));
 }
 
 struct comet_gateway *
 comet_gateway_create(const struct comet_gateway_settings *settings, const char *settings_path,
-	const struct comet_gateway_port *port, GError **error)
+	const struct comet_platform_adapter *port, GError **error)
 {
 	struct comet_gateway *gateway = talloc_zero(NULL, struct comet_gateway);
 	uint64_t seed = 0;
@@ -354,10 +365,10 @@
 	gateway->settings = settings;
 	gateway->settings_path = settings_path;
 	gateway->names = port->names;
-	gateway->ends = comet_tally_create(gateway);
+	gateway->ends = comet_counter_set_create(gateway);
 	gateway->began_us = comet_timers_now_us();
 	randombytes_buf(&seed, sizeof seed);
-	comet_draw_init(&gateway->draw, seed);
+	comet_random_init(&gateway->random, seed);
 	gateway->ev = tevent_context_init(gateway);
 	gateway->timers = comet_timers_create(gateway, gateway->ev);
 	if (gateway->timers == NULL)
@@ -372,8 +383,8 @@
 		comet_gateway_destroy(gateway);
 		return NULL;
 	}
-	create_decisions(gateway);
-	create_views(gateway);
+	create_components(gateway);
+	create_gossip(gateway);
 	struct comet_directory_context context = {
 		.ev = gateway->ev,
 		.timers = gateway->timers,
@@ -391,41 +402,42 @@
 	return gateway;
 }
 
-/* For how long the VM was suspended since it started: CLOCK_MONOTONIC does not count that. */
+/* Returns how long the VM has been suspended since it booted: CLOCK_MONOTONIC does not count that
+ * time. */
 static uint64_t
 suspended_us(uint64_t now_us)
 {
 	return now_us - MIN(comet_now_us(CLOCK_MONOTONIC), now_us);
 }
 
-/* The process did not run, whether it was stopped or its VM suspended. */
+/* Handles a pause: the process was stopped or its VM suspended. */
 static void
-was_away(struct comet_gateway *gateway, uint64_t now_us)
+handle_pause(struct comet_gateway *gateway, uint64_t now_us)
 {
 	uint64_t all_us = suspended_us(now_us);
 
 	comet_log(COMET_LOG_WARNING,
-		"event=was_away away_ms=%" G_GUINT64_FORMAT " suspended_ms=%" G_GUINT64_FORMAT
-		" clock=boottime",
-		(now_us - gateway->turn_us) / 1000,
+		"event=process_paused paused_ms=%" G_GUINT64_FORMAT
+		" suspended_ms=%" G_GUINT64_FORMAT " clock=boottime",
+		(now_us - gateway->last_loop_us) / 1000,
 		(all_us - MIN(gateway->suspended_us, all_us)) / 1000);
 	gateway->suspended_us = all_us;
-	gateway->away_us = now_us;
+	gateway->pause_detected_us = now_us;
 	comet_timers_hold(gateway->timers, CATCH_UP_US);
 }
 
-/* Looks, each time the loop has waited, whether the process was away since it did so last. */
+/* Detects a pause of the process each time the event loop has waited. */
 static void
-on_turn(enum tevent_trace_point point, void *data)
+on_loop_event(enum tevent_trace_point point, void *data)
 {
 	struct comet_gateway *gateway = data;
 
 	if (point != TEVENT_TRACE_AFTER_WAIT)
 		return;
 	uint64_t now_us = comet_timers_now_us();
-	if (gateway->turn_us != 0 && now_us - gateway->turn_us >= AWAY_US)
-		was_away(gateway, now_us);
-	gateway->turn_us = now_us;
+	if (gateway->last_loop_us != 0 && now_us - gateway->last_loop_us >= PAUSE_MIN_US)
+		handle_pause(gateway, now_us);
+	gateway->last_loop_us = now_us;
 }
 
 void
@@ -437,8 +449,8 @@
 	gateway->directory->ops->start(gateway->directory);
 	comet_timers_add(gateway->timers, gateway, 0, on_tick, gateway);
 	gateway->suspended_us = suspended_us(comet_timers_now_us());
-	tevent_set_trace_callback(gateway->ev, on_turn, gateway);
-	while (!gateway->over && tevent_loop_once(gateway->ev) == 0)
+	tevent_set_trace_callback(gateway->ev, on_loop_event, gateway);
+	while (!gateway->stopped && tevent_loop_once(gateway->ev) == 0)
 		;
 }
 
--- a/libcometspindle/adapters/gateway/gateway_admit.c
+++ b/libcometspindle/adapters/gateway/gateway_admit.c
@@ -1,69 +1,72 @@
 /*
  * gateway_admit.c
- * one request at a gateway: its admission, from its arrival to its place in a queue
+ * admission of a proxy request, from its arrival until it is queued for an endpoint
  */
-#include <libcometspindle/adapters/gateway/gateway_relay.h>
+#include <libcometspindle/adapters/gateway/proxy_request.h>
 
 #include <libcometspindle/log.h>
 #include <string.h>
 #include <strings.h>
 #include <talloc.h>
 
-/* A caller that waits for a stream leaves after the longest of a fixed time and some multiples of
- * what the route aims at; nothing is worth starting for it after that. */
-#define PATIENCE_MIN_MS 2000
-#define PATIENCE_AIMS 4
-#define PATIENCE_GAPS 8
+/* The caller of a stream disconnects if the first event does not arrive within the longest of a
+ * fixed time and these multiples of the route's target latency and target gap. A request is not
+ * sent to an endpoint after that. */
+#define FIRST_EVENT_TIMEOUT_MIN_MS 2000
+#define FIRST_EVENT_TIMEOUT_TARGETS 4
+#define FIRST_EVENT_TIMEOUT_GAPS 8
 
-/* Part of a caller's patience that is kept for the endpoint's work. */
-#define WORK_PART 0.25
+/* Share of the caller's timeout that is reserved for the endpoint's processing. */
+#define PROCESSING_SHARE 0.25
 
-/* Within this part of its aim a refusal costs the caller little: it can still be in time. */
-#define EARLY_PART 4
+/* A caller that is refused within the target latency divided by this can retry and still be
+ * answered in time. */
+#define EARLY_REFUSAL_DIVISOR 4
 
-/* A VM that knows no routes yet asks to come back after this time: a start takes about as long.
- * Once the directory has left a call unanswered, an outage goes on, which lasts for seconds:
- * callers that may try once more would be refused again. */
+/* Retry-After of a VM that has no routing table yet. A start takes about half a second. After the
+ * directory has failed to answer a call, the outage usually lasts for seconds, and callers that
+ * retry only once would be refused again. */
 #define NOT_READY_RETRY_S "0.5"
 #define OUTAGE_RETRY_S "4"
 
-/* A VM that stops sends callers to the others, which are there. */
+/* Retry-After of a VM that is stopping: the other VMs can take the request immediately. */
 #define STOPPING_RETRY_S "0.05"
 
-/* A request that may just have crashed a third endpoint comes back after this time: a process that
- * refuses connections is known to have crashed within a second, a silent one within four. */
-#define DOUBT_RETRY_MS 2000
+/* Retry-After of a request that is suspected of having just crashed a third endpoint. A crash is
+ * detected within one second if the endpoint refuses connections, and within four if it is silent.
+ */
+#define SUSPECT_RETRY_AFTER_MS 2000
 
 static int
-call_destroy(struct comet_relay *relay)
+proxy_request_destructor(struct comet_proxy_request *proxy)
 {
-	relay->gateway->calls--;
-	g_queue_delete_link(&relay->gateway->relays, relay->open);
-	if (relay->sending != NULL) /* the process ends */
-		g_queue_delete_link(&relay->gateway->sendings, relay->sending);
-	comet_route_table_unref(relay->table);
-	if (relay->answer != NULL)
-		g_byte_array_free(relay->answer, TRUE);
+	proxy->gateway->open_request_count--;
+	g_queue_delete_link(&proxy->gateway->open_requests, proxy->open_link);
+	if (proxy->attempt_link != NULL) /* only when the gateway itself is freed */
+		g_queue_delete_link(&proxy->gateway->active_attempts, proxy->attempt_link);
+	comet_route_table_unref(proxy->table);
+	if (proxy->buffered_body != NULL)
+		g_byte_array_free(proxy->buffered_body, TRUE);
 	return 0;
 }
 
 static void
 on_deadline(void *ctx)
 {
-	struct comet_relay *relay = ctx;
+	struct comet_proxy_request *proxy = ctx;
 
-	relay->deadline = NULL;
-	if (relay->exchange != NULL)
+	proxy->deadline_timer = NULL;
+	if (proxy->exchange != NULL)
 	{
-		relay->may_have_run = relay->may_have_run || comet_exchange_sent(relay->exchange);
-		comet_relay_end_sending(relay, COMET_DISPATCH_CANCELLED);
+		proxy->may_have_run = proxy->may_have_run || comet_exchange_sent(proxy->exchange);
+		comet_proxy_request_end_attempt(proxy, COMET_DISPATCH_CANCELLED);
 	}
-	comet_relay_give_up(relay, 504, "deadline");
+	comet_proxy_request_fail(proxy, 504, "deadline");
 }
 
-/* The key of a request's team, or NULL. */
+/* Returns the API key of a request, or NULL. */
 static const char *
-key_of(const struct comet_gateway *gateway, const struct comet_http_head *head)
+get_api_key(const struct comet_gateway *gateway, const struct comet_http_head *head)
 {
 	const char *value = comet_http_head_get(head, gateway->names->authorization);
 	size_t length = strlen(gateway->names->key_scheme);
@@ -76,38 +79,38 @@
 	return value + length;
 }
 
-/* Sizes of the request, from what its caller tells. */
+/* Reads the size of the request from the caller's headers. */
 static void
-read_job(struct comet_relay *relay)
+parse_request_size(struct comet_proxy_request *proxy)
 {
-	const struct comet_wire_names *names = relay->gateway->names;
-	const struct comet_http_head *head = relay->request->head;
+	const struct comet_header_names *names = proxy->gateway->names;
+	const struct comet_http_head *head = proxy->request->head;
 	const char *tokens = comet_http_head_get(head, names->tokens);
 	const char *hint = comet_http_head_get(head, names->output_hint);
-	struct comet_job *job = &relay->item.job;
+	struct comet_request_size *size = &proxy->item.size;
 	uint32_t expected = 0;
 
-	job->stream = comet_relay_is_stream(relay);
-	relay->charge =
-		relay->team != NULL && relay->team->in_tokens ? relay->team->default_tokens : 1;
+	size->stream = comet_proxy_request_is_stream(proxy);
+	proxy->quota_amount =
+		proxy->team != NULL && proxy->team->in_tokens ? proxy->team->default_tokens : 1;
 	if (tokens == NULL ||
-		!comet_wire_parse_tokens(tokens, &job->prompt_tokens, &job->output_tokens))
+		!comet_header_parse_tokens(tokens, &size->prompt_tokens, &size->output_tokens))
 		return;
-	job->output_most = job->output_tokens;
-	if (relay->team != NULL && relay->team->in_tokens)
-		relay->charge = (uint64_t)job->prompt_tokens + job->output_tokens;
-	if (hint != NULL && comet_wire_parse_ms(hint, &expected) && expected > 0)
-		job->output_tokens = MIN(expected, job->output_tokens);
+	size->max_output_tokens = size->output_tokens;
+	if (proxy->team != NULL && proxy->team->in_tokens)
+		proxy->quota_amount = (uint64_t)size->prompt_tokens + size->output_tokens;
+	if (hint != NULL && comet_header_parse_ms(hint, &expected) && expected > 0)
+		size->output_tokens = MIN(expected, size->output_tokens);
 }
 
-/* Which request it is, whatever id this attempt of it has. */
+/* Computes a fingerprint that stays the same when a caller repeats the request under another id. */
 static void
-read_fingerprint(struct comet_relay *relay)
+compute_fingerprint(struct comet_proxy_request *proxy)
 {
-	const struct comet_http_head *head = relay->request->head;
-	const GByteArray *body = relay->request->body;
+	const struct comet_http_head *head = proxy->request->head;
+	const GByteArray *body = proxy->request->body;
 	const struct comet_fingerprint_parts parts = {
-		.team = relay->team != NULL ? relay->team->name : NULL,
+		.team = proxy->team != NULL ? proxy->team->name : NULL,
 		.method = head->method,
 		.host = comet_http_head_get(head, "Host"),
 		.target = head->target,
@@ -115,136 +118,141 @@
 		.body_bytes = body->len,
 	};
 
-	relay->fingerprint = comet_fingerprint_of(&parts);
+	proxy->fingerprint = comet_fingerprint_compute(&parts);
 }
 
-/* Until when the request is worth sending, and until when its caller waits. */
+/* Computes the caller's deadline, and the time after which the request is not sent any more. */
 static void
-read_times(struct comet_relay *relay)
+compute_deadlines(struct comet_proxy_request *proxy)
 {
-	const struct comet_route *route = relay->route;
-	const char *told =
-		comet_http_head_get(relay->request->head, relay->gateway->names->deadline_ms);
-	uint64_t patience_ms = UINT32_MAX;
+	const struct comet_route *route = proxy->route;
+	const char *deadline_text =
+		comet_http_head_get(proxy->request->head, proxy->gateway->names->deadline_ms);
+	uint64_t timeout_ms = UINT32_MAX;
 	uint32_t deadline_ms = 0;
 
-	if (told != NULL && comet_wire_parse_ms(told, &deadline_ms))
-		patience_ms = deadline_ms;
+	if (deadline_text != NULL && comet_header_parse_ms(deadline_text, &deadline_ms))
+		timeout_ms = deadline_ms;
 	if (route->timeout_ms > 0)
-		patience_ms = MIN(patience_ms, route->timeout_ms);
-	relay->end_us = relay->arrived_us + patience_ms * 1000;
-	if (comet_relay_is_stream(relay))
+		timeout_ms = MIN(timeout_ms, route->timeout_ms);
+	proxy->deadline_us = proxy->arrived_us + timeout_ms * 1000;
+	if (comet_proxy_request_is_stream(proxy))
 	{
-		uint64_t first_ms = MAX(PATIENCE_MIN_MS, (uint64_t)PATIENCE_AIMS * route->aim_ms);
-		first_ms = MAX(first_ms, (uint64_t)PATIENCE_GAPS * route->gap_ms);
-		patience_ms = MIN(patience_ms, first_ms);
+		uint64_t first_event_ms = MAX(FIRST_EVENT_TIMEOUT_MIN_MS,
+			(uint64_t)FIRST_EVENT_TIMEOUT_TARGETS * route->target_latency_ms);
+		first_event_ms = MAX(
+			first_event_ms, (uint64_t)FIRST_EVENT_TIMEOUT_GAPS * route->target_gap_ms);
+		timeout_ms = MIN(timeout_ms, first_event_ms);
 	}
-	relay->item.latest_us =
-		relay->arrived_us + (uint64_t)((double)patience_ms * 1000 * (1 - WORK_PART));
-	relay->item.end_us = relay->end_us;
-	relay->item.aim_us =
-		route->aim_ms > 0 ? relay->arrived_us + (uint64_t)route->aim_ms * 1000 : 0;
-	relay->item.early_us = relay->arrived_us + (uint64_t)route->aim_ms * 1000 / EARLY_PART;
+	proxy->item.dispatch_deadline_us =
+		proxy->arrived_us + (uint64_t)((double)timeout_ms * 1000 * (1 - PROCESSING_SHARE));
+	proxy->item.answer_deadline_us = proxy->deadline_us;
+	proxy->item.soft_deadline_us =
+		route->target_latency_ms > 0
+			? proxy->arrived_us + (uint64_t)route->target_latency_ms * 1000
+			: 0;
+	proxy->item.early_refusal_us = proxy->arrived_us + (uint64_t)route->target_latency_ms *
+								   1000 / EARLY_REFUSAL_DIVISOR;
 }
 
-/* Hands the request to placement. */
+/* Queues the request for an endpoint. */
 static void
-place(struct comet_relay *relay, uint64_t now_us)
+queue_request(struct comet_proxy_request *proxy, uint64_t now_us)
 {
-	struct comet_gateway *gateway = relay->gateway;
-	struct comet_placement_item *item = &relay->item;
+	struct comet_gateway *gateway = proxy->gateway;
+	struct comet_placement_item *item = &proxy->item;
 
-	item->owner = relay;
-	item->service = relay->service;
+	item->user_data = proxy;
+	item->service = proxy->service;
 	item->team_rank =
-		relay->team != NULL && relay->team->has_priority ? relay->team->priority : 0;
-	item->route_rank = relay->route->priority;
-	item->repeatable = comet_route_repeatable(relay->route) && relay->route->max_attempts > 1;
-	relay->answer = g_byte_array_new();
-	if (comet_relay_is_stream(relay))
-		relay->events = comet_event_stream_create(relay);
-	if (relay->end_us > now_us)
-		relay->deadline = comet_timers_add(
-			gateway->timers, relay, relay->end_us - now_us, on_deadline, relay);
+		proxy->team != NULL && proxy->team->has_priority ? proxy->team->priority : 0;
+	item->route_rank = proxy->route->priority;
+	item->retryable = comet_route_is_retryable(proxy->route) && proxy->route->max_attempts > 1;
+	proxy->buffered_body = g_byte_array_new();
+	if (comet_proxy_request_is_stream(proxy))
+		proxy->events = comet_event_stream_create(proxy);
+	if (proxy->deadline_us > now_us)
+		proxy->deadline_timer = comet_timers_add(
+			gateway->timers, proxy, proxy->deadline_us - now_us, on_deadline, proxy);
 	gateway->counts.admitted++;
 	comet_placement_submit(gateway->placement, item, now_us);
 }
 
-/* Finds the team of a request's key. @return false when it was answered. */
+/* Finds the team of the request's API key. @return false if the request was refused. */
 static bool
-find_team(struct comet_relay *relay)
+find_team(struct comet_proxy_request *proxy)
 {
-	struct comet_gateway *gateway = relay->gateway;
+	struct comet_gateway *gateway = proxy->gateway;
 
-	if (relay->route->open || !comet_route_table_needs_keys(relay->table))
+	if (proxy->route->open || !comet_route_table_needs_keys(proxy->table))
 		return true;
-	const char *key = key_of(gateway, relay->request->head);
-	relay->team = key != NULL ? comet_route_table_team_by_key(relay->table, key) : NULL;
-	if (relay->team != NULL)
+	const char *key = get_api_key(gateway, proxy->request->head);
+	proxy->team = key != NULL ? comet_route_table_team_by_key(proxy->table, key) : NULL;
+	if (proxy->team != NULL)
 		return true;
 	gateway->counts.refused_other++;
-	comet_relay_answer(relay, 401, "unknown_key", 0);
+	comet_proxy_request_respond_error(proxy, 401, "unknown_key", 0);
 	return false;
 }
 
-/* Finds the route of a request. @return false when it was answered. */
+/* Finds the route of a request. @return false if the request was refused. */
 static bool
-find_route(struct comet_relay *relay)
+find_route(struct comet_proxy_request *proxy)
 {
-	struct comet_gateway *gateway = relay->gateway;
-	const struct comet_http_head *head = relay->request->head;
+	struct comet_gateway *gateway = proxy->gateway;
+	const struct comet_http_head *head = proxy->request->head;
 	const char *host = comet_http_head_get(head, "Host");
 
-	if (relay->id == NULL || host == NULL || head->target[0] != '/' ||
+	if (proxy->id == NULL || host == NULL || head->target[0] != '/' ||
 		comet_http_head_count(head, "Host") != 1)
 	{
 		gateway->counts.refused_other++;
-		comet_relay_answer(relay, 400, "malformed", 0);
+		comet_proxy_request_respond_error(proxy, 400, "malformed", 0);
 		return false;
 	}
-	relay->route = comet_route_table_find(relay->table, host, head->target);
-	if (relay->route == NULL)
+	proxy->route = comet_route_table_find(proxy->table, host, head->target);
+	if (proxy->route == NULL)
 	{
 		gateway->counts.refused_other++;
-		comet_relay_answer(relay, 404, "no_route", 0);
+		comet_proxy_request_respond_error(proxy, 404, "no_route", 0);
 		return false;
 	}
 	return true;
 }
 
-/* It is charged: places it. */
+/* Called once the request has been charged: selects a service and queues the request. */
 static void
-admit(struct comet_relay *relay, uint64_t now_us)
+admit(struct comet_proxy_request *proxy, uint64_t now_us)
 {
-	struct comet_gateway *gateway = relay->gateway;
+	struct comet_gateway *gateway = proxy->gateway;
 
-	read_times(relay);
-	relay->service = talloc_strdup(
-		relay, comet_route_pick_service(relay->route, comet_draw_u32(&gateway->draw)));
+	compute_deadlines(proxy);
+	proxy->service = talloc_strdup(
+		proxy, comet_route_pick_service(proxy->route, comet_random_u32(&gateway->random)));
 	comet_log(COMET_LOG_INFO,
 		"event=admitted request=%s fingerprint=%016" G_GINT64_MODIFIER
 		"x route=%s service=%s team=%s prompt=%u output=%u most=%u "
 		"version=%" G_GUINT64_FORMAT,
-		relay->id, relay->fingerprint.digest, relay->route->name, relay->service,
-		relay->team != NULL ? relay->team->name : "-", relay->item.job.prompt_tokens,
-		relay->item.job.output_tokens, relay->item.job.output_most,
-		comet_route_table_version(relay->table));
-	place(relay, now_us);
+		proxy->id, proxy->fingerprint.digest, proxy->route->name, proxy->service,
+		proxy->team != NULL ? proxy->team->name : "-", proxy->item.size.prompt_tokens,
+		proxy->item.size.output_tokens, proxy->item.size.max_output_tokens,
+		comet_route_table_version(proxy->table));
+	queue_request(proxy, now_us);
 }
 
-/* Nothing can be admitted before the routes are known. */
+/* Refuses a request that arrived before the first routing table. */
 static void
-refuse_not_ready(struct comet_gateway *gateway, struct comet_front_request *request)
+refuse_not_ready(struct comet_gateway *gateway, struct comet_http_server_request *request)
 {
 	const char *headers = gateway->directory_lost ? "Retry-After: " OUTAGE_RETRY_S "\r\n"
 						      : "Retry-After: " NOT_READY_RETRY_S "\r\n";
 
 	gateway->counts.refused_other++;
-	comet_front_answer(request, 503, headers, "", 0);
+	comet_http_server_respond(request, 503, headers, "", 0);
 }
 
 void
-comet_relay_take(void *ctx, struct comet_front_request *request)
+comet_proxy_request_handle(void *ctx, struct comet_http_server_request *request)
 {
 	struct comet_gateway *gateway = ctx;
 
@@ -255,35 +263,37 @@
 	}
 	if (gateway->refusing)
 	{
-		/* Too late to be finished before this process ends: others take it at once. */
+		/* The request might not finish before this process exits. */
 		gateway->counts.refused_early++;
-		comet_front_answer(request, 503, "Retry-After: " STOPPING_RETRY_S "\r\n", "", 0);
+		comet_http_server_respond(
+			request, 503, "Retry-After: " STOPPING_RETRY_S "\r\n", "", 0);
 		return;
 	}
-	struct comet_relay *relay = talloc_zero(gateway, struct comet_relay);
-	gateway->calls++;
-	g_queue_push_tail(&gateway->relays, relay);
-	relay->open = g_queue_peek_tail_link(&gateway->relays);
-	talloc_set_destructor(relay, call_destroy);
-	relay->gateway = gateway;
-	relay->request = request;
-	relay->table = comet_route_table_ref(gateway->table);
-	relay->id = comet_http_head_get(request->head, gateway->names->request_id);
-	relay->arrived_us = request->received_us;
-	request->user = relay;
-	if (!find_route(relay) || !find_team(relay))
+	struct comet_proxy_request *proxy = talloc_zero(gateway, struct comet_proxy_request);
+	gateway->open_request_count++;
+	g_queue_push_tail(&gateway->open_requests, proxy);
+	proxy->open_link = g_queue_peek_tail_link(&gateway->open_requests);
+	talloc_set_destructor(proxy, proxy_request_destructor);
+	proxy->gateway = gateway;
+	proxy->request = request;
+	proxy->table = comet_route_table_ref(gateway->table);
+	proxy->id = comet_http_head_get(request->head, gateway->names->request_id);
+	proxy->arrived_us = request->received_us;
+	request->user = proxy;
+	if (!find_route(proxy) || !find_team(proxy))
 		return;
-	read_fingerprint(relay);
-	if (comet_relay_is_barred(relay))
+	compute_fingerprint(proxy);
+	if (comet_proxy_request_is_quarantined(proxy))
 	{
-		comet_relay_refuse_for_good(relay);
+		comet_proxy_request_refuse_quarantined(proxy);
 		return;
 	}
-	if (comet_crashes_doubts(gateway->crashes, &relay->fingerprint, comet_timers_now_us()))
+	if (comet_crash_tracker_is_undecided(
+		    gateway->crash_tracker, &proxy->fingerprint, comet_timers_now_us()))
 	{
-		comet_relay_refuse(relay, "may_crash_endpoints", DOUBT_RETRY_MS);
+		comet_proxy_request_refuse(proxy, "may_crash_endpoints", SUSPECT_RETRY_AFTER_MS);
 		return;
 	}
-	read_job(relay);
-	comet_relay_charge(relay, admit);
+	parse_request_size(proxy);
+	comet_proxy_request_charge(proxy, admit);
 }
--- a/libcometspindle/adapters/gateway/gateway_answer.c
+++ b/libcometspindle/adapters/gateway/gateway_answer.c
@@ -1,21 +1,21 @@
 /*
  * gateway_answer.c
- * one request at a gateway: an endpoint's answer on its way to the caller
+ * forwards an endpoint's response to the caller
  */
-#include <libcometspindle/adapters/gateway/gateway_relay.h>
+#include <libcometspindle/adapters/gateway/proxy_request.h>
 
 #include <libcometspindle/log.h>
 #include <string.h>
 #include <talloc.h>
 
-/* Plain answers up to this size are read whole before the first byte goes on, so that an endpoint
- * that breaks off can be replaced; larger ones are passed on as they come. */
+/* Plain responses up to this size are buffered completely before any byte is forwarded, so that the
+ * request can be retried if the endpoint breaks off. Larger ones are forwarded as they arrive. */
 #define PLAIN_BUFFER_BYTES (256 * 1024)
 
-/* An answer that a slow reader has not taken stops the endpoint's reading at this size. */
-#define SLOW_READER_BYTES (256 * 1024)
+/* Reading from the endpoint is paused once this much is queued for a slow caller. */
+#define PAUSE_THRESHOLD_BYTES (256 * 1024)
 
-/* Copies what is needed of an answer's head after its reader has gone on. */
+/* Copies a response head, since the parser reuses its memory. */
 static struct comet_http_head *
 copy_head(void *parent, const struct comet_http_head *head)
 {
@@ -31,11 +31,11 @@
 	return copy;
 }
 
-/* Starts the caller's answer with the endpoint's head. length < 0: not known. */
+/* Starts the response to the caller with the endpoint's head. length is negative if unknown. */
 static void
-start_answer(struct comet_relay *relay, int64_t length)
+start_response(struct comet_proxy_request *proxy, int64_t length)
 {
-	const struct comet_http_head *head = relay->head;
+	const struct comet_http_head *head = proxy->head;
 	GString *headers = g_string_sized_new(512);
 
 	for (size_t i = 0; i < head->n_headers; i++)
@@ -44,281 +44,300 @@
 			comet_http_write_header(
 				headers, head->headers[i].name, head->headers[i].value);
 	}
-	comet_front_start(relay->request, head->status, head->reason, headers->str, length);
+	comet_http_server_start_response(
+		proxy->request, head->status, head->reason, headers->str, length);
 	g_string_free(headers, TRUE);
-	relay->started = true;
-	relay->status = head->status;
-	relay->type = talloc_strdup(relay, comet_http_head_get(head, "Content-Type"));
+	proxy->response_started = true;
+	proxy->response_status = head->status;
+	proxy->content_type = talloc_strdup(proxy, comet_http_head_get(head, "Content-Type"));
 }
 
 static void
-on_answer_head(void *ctx, const struct comet_http_head *head)
+on_response_head(void *ctx, const struct comet_http_head *head)
 {
-	struct comet_relay *relay = ctx;
-	const struct comet_wire_names *names = relay->gateway->names;
+	struct comet_proxy_request *proxy = ctx;
+	const struct comet_header_names *names = proxy->gateway->names;
 	const char *load_text = comet_http_head_get(head, names->load);
-	struct comet_wire_load load;
+	struct comet_header_load load;
 	uint64_t now_us = comet_timers_now_us();
-	struct comet_instance *instance = comet_relay_instance(relay);
+	struct comet_instance *instance = comet_proxy_request_instance(proxy);
 
 	if (instance != NULL)
-		comet_instance_heard(instance, now_us);
-	if (instance != NULL && load_text != NULL && comet_wire_parse_load(load_text, &load))
-		comet_instance_told(instance, load.running + load.waiting, now_us);
-	relay->not_run = head->status == 421 || comet_http_head_get(head, names->not_run) != NULL;
-	talloc_free(relay->head);
-	relay->head = copy_head(relay, head);
-	relay->last_us = now_us;
+		comet_instance_seen(instance, now_us);
+	if (instance != NULL && load_text != NULL && comet_header_parse_load(load_text, &load))
+		comet_instance_load_reported(instance, load.running + load.waiting, now_us);
+	proxy->not_executed =
+		head->status == 421 || comet_http_head_get(head, names->not_run) != NULL;
+	talloc_free(proxy->head);
+	proxy->head = copy_head(proxy, head);
+	proxy->last_byte_us = now_us;
 }
 
 static bool
-is_success(const struct comet_relay *relay)
+is_success(const struct comet_proxy_request *proxy)
 {
-	return relay->head->status >= 200 && relay->head->status < 300;
+	return proxy->head->status >= 200 && proxy->head->status < 300;
 }
 
 static bool
-is_stamped(const struct comet_relay *relay)
+has_server_stamp(const struct comet_proxy_request *proxy)
 {
-	return comet_http_head_get(relay->head, relay->gateway->names->stamp) != NULL;
+	return comet_http_head_get(proxy->head, proxy->gateway->names->server_stamp) != NULL;
 }
 
-/* Is this head like that of the stream which the run is to go on with? Another status or type is
- * that of another answer: 204 made a stream look complete that lacked half of its events. */
+/* Returns whether the head matches the stream that this attempt is to resume. A different status or
+ * content type belongs to a different response: a 204 made a stream look complete that lacked half
+ * of its events. */
 static bool
-is_rest(const struct comet_relay *relay)
+is_continuation(const struct comet_proxy_request *proxy)
 {
-	const char *type = comet_http_head_get(relay->head, "Content-Type");
+	const char *type = comet_http_head_get(proxy->head, "Content-Type");
 
-	return relay->head->status == relay->status && g_strcmp0(type, relay->type) == 0;
+	return proxy->head->status == proxy->response_status &&
+	       g_strcmp0(type, proxy->content_type) == 0;
 }
 
-/* Is this head one of a success that may be passed on? */
+/* Returns whether the head is that of a successful response that may be forwarded. */
 static bool
-is_good(const struct comet_relay *relay)
+is_valid_success(const struct comet_proxy_request *proxy)
 {
-	return !relay->not_run && is_success(relay) && is_stamped(relay) &&
-	       (!relay->resuming || is_rest(relay));
+	return !proxy->not_executed && is_success(proxy) && has_server_stamp(proxy) &&
+	       (!proxy->resuming || is_continuation(proxy));
 }
 
-/* What becomes of an answer's body. */
-enum body_use
+/* How the body of a response is handled. */
+enum body_mode
 {
-	BODY_EVENTS,  /* its whole events go on as they come */
-	BODY_PLAIN,   /* it is held, and goes on as it comes once it is large */
-	BODY_DROPPED, /* it is no part of what the caller gets */
+	BODY_EVENTS,    /* complete events are forwarded as they arrive */
+	BODY_PLAIN,     /* buffered; forwarded as it arrives once it is large */
+	BODY_DISCARDED, /* not forwarded */
 };
 
-/* A body goes on only if its answer may become the caller's. What a run that was to go on with a
- * stream says instead, such as a refusal's text, was read by the caller as one of its events. */
-static enum body_use
-use_of_body(const struct comet_relay *relay)
+/* A body is forwarded only if its response can become the caller's. If an attempt that was to
+ * resume a stream is answered with something else, such as the text of a refusal, the caller would
+ * read that text as an event. */
+static enum body_mode
+select_body_mode(const struct comet_proxy_request *proxy)
 {
-	if (comet_relay_is_stream(relay) && is_good(relay))
+	if (comet_proxy_request_is_stream(proxy) && is_valid_success(proxy))
 		return BODY_EVENTS;
-	if (relay->not_run || relay->resuming || (is_success(relay) && !is_stamped(relay)))
-		return BODY_DROPPED;
+	if (proxy->not_executed || proxy->resuming ||
+		(is_success(proxy) && !has_server_stamp(proxy)))
+		return BODY_DISCARDED;
 	return BODY_PLAIN;
 }
 
 static void
-hold_back(struct comet_relay *relay)
+pause_for_slow_caller(struct comet_proxy_request *proxy)
 {
-	if (relay->paused || comet_front_queued(relay->request) < SLOW_READER_BYTES)
+	if (proxy->upstream_paused ||
+		comet_http_server_queued_bytes(proxy->request) < PAUSE_THRESHOLD_BYTES)
 		return;
-	relay->paused = true;
-	comet_exchange_pause(relay->exchange, true);
+	proxy->upstream_paused = true;
+	comet_exchange_pause(proxy->exchange, true);
 }
 
-/* Passes on the events that are whole. */
+/* Forwards the complete events. */
 static void
-pass_events(struct comet_relay *relay, const char *data, size_t length)
+forward_events(struct comet_proxy_request *proxy, const char *data, size_t length)
 {
-	size_t ready = comet_event_stream_add(relay->events, data, length);
+	size_t ready = comet_event_stream_add(proxy->events, data, length);
 
 	if (ready == 0)
 		return;
-	if (!relay->started)
-		start_answer(relay, -1);
-	comet_front_send(relay->request, comet_event_stream_ready(relay->events), ready);
-	comet_event_stream_taken(relay->events);
-	hold_back(relay);
+	if (!proxy->response_started)
+		start_response(proxy, -1);
+	comet_http_server_send_body(proxy->request, comet_event_stream_ready(proxy->events), ready);
+	comet_event_stream_consume(proxy->events);
+	pause_for_slow_caller(proxy);
 }
 
 static void
-pass_plain(struct comet_relay *relay, const char *data, size_t length)
+forward_plain_body(struct comet_proxy_request *proxy, const char *data, size_t length)
 {
-	if (relay->started)
+	if (proxy->response_started)
 	{
-		comet_front_send(relay->request, data, length);
-		hold_back(relay);
+		comet_http_server_send_body(proxy->request, data, length);
+		pause_for_slow_caller(proxy);
 		return;
 	}
-	g_byte_array_append(relay->answer, (const guint8 *)data, (guint)length);
-	if (relay->answer->len < PLAIN_BUFFER_BYTES)
+	g_byte_array_append(proxy->buffered_body, (const guint8 *)data, (guint)length);
+	if (proxy->buffered_body->len < PLAIN_BUFFER_BYTES)
 		return;
-	const char *told = comet_http_head_get(relay->head, "Content-Length");
-	start_answer(relay, told != NULL ? g_ascii_strtoll(told, NULL, 10) : -1);
-	comet_front_send(relay->request, (const char *)relay->answer->data, relay->answer->len);
-	g_byte_array_set_size(relay->answer, 0);
-	hold_back(relay);
+	const char *length_text = comet_http_head_get(proxy->head, "Content-Length");
+	start_response(proxy, length_text != NULL ? g_ascii_strtoll(length_text, NULL, 10) : -1);
+	comet_http_server_send_body(proxy->request, (const char *)proxy->buffered_body->data,
+		proxy->buffered_body->len);
+	g_byte_array_set_size(proxy->buffered_body, 0);
+	pause_for_slow_caller(proxy);
 }
 
 static void
-on_answer_data(void *ctx, const char *data, size_t length)
+on_response_data(void *ctx, const char *data, size_t length)
 {
-	struct comet_relay *relay = ctx;
+	struct comet_proxy_request *proxy = ctx;
 	uint64_t now_us = comet_timers_now_us();
 
-	struct comet_instance *instance = comet_relay_instance(relay);
+	struct comet_instance *instance = comet_proxy_request_instance(proxy);
 
-	if (relay->began_us == 0)
-		relay->began_us = now_us;
+	if (proxy->response_start_us == 0)
+		proxy->response_start_us = now_us;
 	else
-		relay->pause_us = MAX(relay->pause_us, now_us - relay->last_us);
-	relay->last_us = now_us;
-	relay->body_bytes += length;
+		proxy->max_gap_us = MAX(proxy->max_gap_us, now_us - proxy->last_byte_us);
+	proxy->last_byte_us = now_us;
+	proxy->attempt_body_bytes += length;
 	if (instance != NULL)
-		comet_instance_heard(instance, now_us);
-	if (relay->first_us == 0)
+		comet_instance_seen(instance, now_us);
+	if (proxy->first_byte_us == 0)
 	{
-		relay->first_us = now_us;
+		proxy->first_byte_us = now_us;
 		if (instance != NULL)
-			comet_instance_first(instance, &relay->item.job,
-				comet_relay_was_measured(relay) ? now_us - relay->sent_us
-								: COMET_INSTANCE_UNMEASURED);
+			comet_instance_first_event(instance, &proxy->item.size,
+				comet_proxy_request_timing_is_valid(proxy) ? now_us - proxy->sent_us
+									   : COMET_LATENCY_UNKNOWN);
 	}
-	switch (use_of_body(relay))
+	switch (select_body_mode(proxy))
 	{
 	case BODY_EVENTS:
-		pass_events(relay, data, length);
+		forward_events(proxy, data, length);
 		break;
 	case BODY_PLAIN:
-		pass_plain(relay, data, length);
+		forward_plain_body(proxy, data, length);
 		break;
-	case BODY_DROPPED:
+	case BODY_DISCARDED:
 		break;
 	}
 }
 
 static void
-log_served(const struct comet_relay *relay, unsigned int status)
+log_answered(const struct comet_proxy_request *proxy, unsigned int status)
 {
 	uint64_t now_us = comet_timers_now_us();
 
 	comet_log(status < 400 ? COMET_LOG_INFO : COMET_LOG_NOTICE,
 		"event=answered request=%s status=%u endpoint=%s total_ms=%" G_GUINT64_FORMAT
-		" first_ms=%" G_GUINT64_FORMAT " began_ms=%" G_GUINT64_FORMAT
-		" pause_ms=%" G_GUINT64_FORMAT " events=%u attempts=%u",
-		relay->id, status, relay->instance, comet_relay_since_ms(relay->arrived_us, now_us),
-		relay->first_us != 0 ? comet_relay_since_ms(relay->sent_us, relay->first_us) : 0,
-		relay->began_us != 0 ? comet_relay_since_ms(relay->arrived_us, relay->began_us) : 0,
-		relay->pause_us / 1000, comet_relay_events(relay), relay->attempts);
+		" attempt_first_byte_ms=%" G_GUINT64_FORMAT " first_byte_ms=%" G_GUINT64_FORMAT
+		" max_gap_ms=%" G_GUINT64_FORMAT " events=%u attempts=%u",
+		proxy->id, status, proxy->instance_id,
+		comet_proxy_request_elapsed_ms(proxy->arrived_us, now_us),
+		proxy->first_byte_us != 0
+			? comet_proxy_request_elapsed_ms(proxy->sent_us, proxy->first_byte_us)
+			: 0,
+		proxy->response_start_us != 0 ? comet_proxy_request_elapsed_ms(
+							proxy->arrived_us, proxy->response_start_us)
+					      : 0,
+		proxy->max_gap_us / 1000, comet_proxy_request_events(proxy), proxy->attempts);
 }
 
 static void
-count_times(const struct comet_relay *relay)
+record_latency(const struct comet_proxy_request *proxy)
 {
-	struct comet_gateway_times *times = &relay->gateway->times[relay->route->kind];
+	struct comet_gateway_times *times = &proxy->gateway->times[proxy->route->kind];
 
-	if (relay->first_us != 0)
-		comet_latency_add(&times->first, relay->first_us - relay->arrived_us);
-	comet_latency_add(&times->whole, comet_timers_now_us() - relay->arrived_us);
+	if (proxy->first_byte_us != 0)
+		comet_latency_histogram_add(
+			&times->first, proxy->first_byte_us - proxy->arrived_us);
+	comet_latency_histogram_add(&times->whole, comet_timers_now_us() - proxy->arrived_us);
 }
 
-/* The whole answer is here and is passed on. */
+/* Completes the response to the caller with a response that was read completely. */
 static void
-deliver(struct comet_relay *relay, enum comet_dispatch_result result)
+complete_response(struct comet_proxy_request *proxy, enum comet_dispatch_result result)
 {
-	struct comet_front_request *request = relay->request;
+	struct comet_http_server_request *request = proxy->request;
 
-	if (!relay->started)
+	if (!proxy->response_started)
 	{
 		bool head_only = strcmp(request->head->method, "HEAD") == 0;
-		const char *told = comet_http_head_get(relay->head, "Content-Length");
-		int64_t length = head_only && told != NULL ? g_ascii_strtoll(told, NULL, 10)
-							   : (int64_t)relay->answer->len;
-		start_answer(relay, length);
-		comet_front_send(request, (const char *)relay->answer->data, relay->answer->len);
+		const char *length_text = comet_http_head_get(proxy->head, "Content-Length");
+		int64_t length = head_only && length_text != NULL
+					 ? g_ascii_strtoll(length_text, NULL, 10)
+					 : (int64_t)proxy->buffered_body->len;
+		start_response(proxy, length);
+		comet_http_server_send_body(request, (const char *)proxy->buffered_body->data,
+			proxy->buffered_body->len);
 	}
-	log_served(relay, relay->head->status);
-	count_times(relay);
+	log_answered(proxy, proxy->head->status);
+	record_latency(proxy);
 	if (result == COMET_DISPATCH_SERVED)
-		relay->gateway->counts.served++;
+		proxy->gateway->counts.served++;
 	else
-		relay->gateway->counts.relayed_errors++;
-	comet_relay_end_sending(relay, result);
-	comet_relay_count_end(relay, result == COMET_DISPATCH_SERVED ? "served" : "relayed_error");
+		proxy->gateway->counts.relayed_errors++;
+	comet_proxy_request_end_attempt(proxy, result);
+	comet_proxy_request_count_end(
+		proxy, result == COMET_DISPATCH_SERVED ? "served" : "relayed_error");
 	request->user = NULL;
-	comet_relay_close(relay);
-	comet_front_finish(request);
+	comet_proxy_request_close(proxy);
+	comet_http_server_finish_response(request);
 }
 
-/* A whole answer was read. */
+/* Handles a response that was read completely. */
 static void
-answer_whole(struct comet_relay *relay)
+handle_complete_response(struct comet_proxy_request *proxy)
 {
-	if (relay->not_run)
+	if (proxy->not_executed)
 	{
-		comet_relay_sending_refused(relay);
+		comet_proxy_request_attempt_refused(proxy);
 		return;
 	}
-	if (is_good(relay))
+	if (is_valid_success(proxy))
 	{
-		bool torn = comet_relay_is_stream(relay) &&
-			    comet_event_stream_unfinished(relay->events) > 0;
-		if (torn)
-			comet_relay_sending_broke(relay, COMET_DISPATCH_BROKEN);
+		bool truncated = comet_proxy_request_is_stream(proxy) &&
+				 comet_event_stream_unfinished(proxy->events) > 0;
+		if (truncated)
+			comet_proxy_request_attempt_failed(proxy, COMET_DISPATCH_BROKEN);
 		else
-			deliver(relay, COMET_DISPATCH_SERVED);
+			complete_response(proxy, COMET_DISPATCH_SERVED);
 		return;
 	}
-	bool server_error = relay->head->status >= 500;
-	if (relay->resuming || (is_success(relay) && !is_stamped(relay)))
+	bool server_error = proxy->head->status >= 500;
+	if (proxy->resuming || (is_success(proxy) && !has_server_stamp(proxy)))
 	{
-		comet_relay_sending_broke(relay, COMET_DISPATCH_BROKEN);
+		comet_proxy_request_attempt_failed(proxy, COMET_DISPATCH_BROKEN);
 		return;
 	}
-	relay->may_have_run = true;
-	/* The same endpoint would only fail again: then its answer is the best there is. */
-	if (server_error && !relay->started && comet_route_repeatable(relay->route) &&
-		comet_placement_has_other(relay->gateway->placement, &relay->item) &&
-		comet_relay_may_repeat(relay))
+	proxy->may_have_run = true;
+	/* An endpoint that was already tried would fail again, so the error response is forwarded
+	 * if no untried endpoint is left. */
+	if (server_error && !proxy->response_started && comet_route_is_retryable(proxy->route) &&
+		comet_placement_has_unattempted(proxy->gateway->placement, &proxy->item) &&
+		comet_proxy_request_may_retry(proxy))
 	{
-		comet_relay_end_sending(relay, COMET_DISPATCH_ERROR);
-		comet_relay_place_again(relay, "endpoint_error");
+		comet_proxy_request_end_attempt(proxy, COMET_DISPATCH_ERROR);
+		comet_proxy_request_retry(proxy, "endpoint_error");
 		return;
 	}
-	deliver(relay, server_error ? COMET_DISPATCH_ERROR : COMET_DISPATCH_SERVED);
+	complete_response(proxy, server_error ? COMET_DISPATCH_ERROR : COMET_DISPATCH_SERVED);
 }
 
 static void
-on_answer_end(void *ctx, enum comet_exchange_end end)
+on_response_end(void *ctx, enum comet_exchange_end end)
 {
-	struct comet_relay *relay = ctx;
+	struct comet_proxy_request *proxy = ctx;
 
-	relay->exchange = NULL; /* frees itself */
+	proxy->exchange = NULL; /* the exchange frees itself */
 	switch (end)
 	{
-	case COMET_EXCHANGE_WHOLE:
-		answer_whole(relay);
+	case COMET_EXCHANGE_COMPLETE:
+		handle_complete_response(proxy);
 		break;
 	case COMET_EXCHANGE_BROKEN:
-		comet_relay_sending_broke(relay, COMET_DISPATCH_BROKEN);
+		comet_proxy_request_attempt_failed(proxy, COMET_DISPATCH_BROKEN);
 		break;
 	case COMET_EXCHANGE_UNREACHED:
-		comet_log(COMET_LOG_NOTICE, "event=unreached request=%s endpoint=%s", relay->id,
-			relay->instance);
-		relay->attempts--;
-		comet_relay_end_sending(relay, COMET_DISPATCH_UNREACHED);
-		if (comet_timers_now_us() < relay->end_us && !comet_relay_is_barred(relay) &&
-			relay->item.n_tried < COMET_PLACEMENT_TRIED_MAX)
-			comet_relay_place_again(relay, "unreached");
+		comet_log(COMET_LOG_NOTICE, "event=unreached request=%s endpoint=%s", proxy->id,
+			proxy->instance_id);
+		proxy->attempts--;
+		comet_proxy_request_end_attempt(proxy, COMET_DISPATCH_UNREACHABLE);
+		if (comet_timers_now_us() < proxy->deadline_us &&
+			!comet_proxy_request_is_quarantined(proxy) &&
+			proxy->item.n_attempted < COMET_PLACEMENT_ATTEMPTED_MAX)
+			comet_proxy_request_retry(proxy, "unreached");
 		else
-			comet_relay_give_up(relay, 502, "unreached");
+			comet_proxy_request_fail(proxy, 502, "unreached");
 		break;
 	}
 }
 
-const struct comet_exchange_events comet_relay_answer_events = {
-	.head = on_answer_head, .data = on_answer_data, .end = on_answer_end};
+const struct comet_exchange_events comet_proxy_request_response_events = {
+	.head = on_response_head, .data = on_response_data, .end = on_response_end};
--- a/libcometspindle/adapters/gateway/gateway_directory.c
+++ b/libcometspindle/adapters/gateway/gateway_directory.c
@@ -1,6 +1,6 @@
 /*
  * gateway_directory.c
- * what a gateway does with the word of its directory: routes, endpoints, and that it is lost
+ * applies updates of the directory: routes, endpoints, evacuations, and outages of the directory
  */
 #include <libcometspindle/adapters/gateway/gateway_crashes.h>
 
@@ -27,19 +27,19 @@
 }
 
 static void
-bound_cold_endpoints(void *ctx, const struct comet_route_service *service)
+set_slow_start(void *ctx, const struct comet_route_service *service)
 {
 	struct comet_gateway *gateway = ctx;
 	const struct comet_gateway_settings *settings = gateway->settings;
-	bool bounded = settings->cold_overage > 0 && service->cold_per_s > 0;
-	const struct comet_slow_start_bounds bounds = {
-		.cold_us = (uint64_t)service->cold_ms * 1000,
-		.most_per_s = bounded ? service->cold_per_s * settings->cold_overage +
-						settings->cold_slack
-				      : 0,
+	bool bounded = settings->cold_overage > 0 && service->slow_start_per_s > 0;
+	const struct comet_slow_start_config config = {
+		.cold_us = (uint64_t)service->slow_start_ms * 1000,
+		.max_per_s = bounded ? service->slow_start_per_s * settings->cold_overage +
+					       settings->cold_slack
+				     : 0,
 	};
 
-	comet_instances_set_slow_start(gateway->instances, service->name, &bounds);
+	comet_instances_set_slow_start(gateway->instances, service->name, &config);
 }
 
 static void
@@ -50,33 +50,33 @@
 
 	if (gateway->table != NULL && version <= comet_route_table_version(gateway->table))
 	{
-		comet_route_table_unref(table); /* never an older one */
+		comet_route_table_unref(table); /* routes never go back to an earlier version */
 		return;
 	}
 	comet_log(COMET_LOG_NOTICE,
 		"event=routes_taken version=%" G_GUINT64_FORMAT " lag_ms=%" G_GUINT64_FORMAT,
 		version, lag_us / 1000);
-	comet_latency_add(&gateway->routes_lag, lag_us);
+	comet_latency_histogram_add(&gateway->routes_lag, lag_us);
 	comet_route_table_each_team(table, log_team, gateway);
 	comet_route_table_unref(gateway->table);
 	gateway->table = table;
-	comet_route_table_each_service(table, bound_cold_endpoints, gateway);
-	comet_allowance_set_teams(gateway->allowance, table, comet_timers_now_us());
-	comet_front_set_limits(gateway->callers, comet_route_table_limits(table));
+	comet_route_table_each_service(table, set_slow_start, gateway);
+	comet_rate_limiter_set_teams(gateway->rate_limiter, table, comet_timers_now_us());
+	comet_http_server_set_limits(gateway->callers, comet_route_table_limits(table));
 }
 
 static void
-on_dropped(void *ctx, const char *id)
+on_expired(void *ctx, const char *id)
 {
 	struct comet_gateway *gateway = ctx;
 
 	const struct comet_instance *instance = comet_instances_find(gateway->instances, id);
 
-	comet_log(COMET_LOG_NOTICE, "event=endpoint_gone endpoint=%s reason=lapse_over", id);
+	comet_log(COMET_LOG_NOTICE, "event=endpoint_gone endpoint=%s reason=expired", id);
 	if (instance != NULL)
-		comet_gateway_life_ended(gateway, instance, "lapse_over");
-	comet_upstream_forget(gateway->upstream, id);
-	comet_lives_forget_lapsed(gateway->lives, id);
+		comet_gateway_process_crashed(gateway, instance, "expired");
+	comet_upstream_close_instance(gateway->upstream, id);
+	comet_incarnations_expire(gateway->incarnations, id);
 }
 
 static void
@@ -88,83 +88,88 @@
 		return;
 	comet_log(COMET_LOG_NOTICE,
 		"event=endpoint_gone endpoint=%s reason=%s draining=%d open=%u "
-		"heard_ms_ago=%" G_GUINT64_FORMAT,
-		id, reason, instance->draining, instance->own,
-		instance->heard_us != 0 ? (comet_timers_now_us() - instance->heard_us) / 1000 : 0);
-	comet_upstream_forget(gateway->upstream, id);
+		"last_seen_ms_ago=%" G_GUINT64_FORMAT,
+		id, reason, instance->draining, instance->local_requests,
+		instance->last_seen_us != 0
+			? (comet_timers_now_us() - instance->last_seen_us) / 1000
+			: 0);
+	comet_upstream_close_instance(gateway->upstream, id);
 	comet_instances_remove(gateway->instances, id);
 }
 
-/* Has what was known under this id another address? Connections are kept by the id, and one to the
- * other address would lead to another endpoint, which refuses what is not meant for it. */
+/* Returns whether the record changes the endpoint's address. Connections are pooled by endpoint ID,
+ * and a connection to the earlier address may lead to another endpoint, which rejects requests that
+ * are not meant for it. */
 static bool
 has_moved(const struct comet_instance *known, const struct comet_instance_record *record)
 {
 	return known != NULL && strcmp(known->address, record->address) != 0;
 }
 
-/* Logs what changes with an entry. known: the instance of that id, or NULL; first: the entry is of
- * the first list. */
+/* Logs an entry of the directory if it changes an endpoint. @param known the instance of that ID,
+ * or NULL. @param first whether the entry is part of the first list. */
 static void
 log_listed(
 	const struct comet_instance *known, const struct comet_instance_record *record, bool first)
 {
 	if (known != NULL && known->draining == record->draining && known->listed &&
-		known->born_ms == record->born_ms && !has_moved(known, record))
+		known->process_start_ms == record->process_start_ms && !has_moved(known, record))
 		return;
 	comet_log_writer *write = first ? comet_log_repeated : comet_log;
 
 	write(COMET_LOG_NOTICE,
 		"event=endpoint_listed endpoint=%s service=%s address=%s zone=%s slots=%u "
-		"draining=%d born=%" G_GUINT64_FORMAT " reborn=%d",
+		"draining=%d born=%" G_GUINT64_FORMAT " restarted=%d",
 		record->id, record->service, record->address, record->zone, record->slots,
-		record->draining, record->born_ms,
-		known != NULL && known->born_ms != record->born_ms);
+		record->draining, record->process_start_ms,
+		known != NULL && known->process_start_ms != record->process_start_ms);
 }
 
-/* An address that is looked for, and the gateway. */
-struct same_address
+/* Arguments of crash_if_at_address(). */
+struct address_match
 {
 	struct comet_gateway *gateway;
 	const char *address;
 };
 
 static void
-end_if_there(void *ctx, struct comet_instance *instance)
+crash_if_at_address(void *ctx, struct comet_instance *instance)
 {
-	const struct same_address *same = ctx;
+	const struct address_match *match = ctx;
 
-	if (strcmp(instance->address, same->address) == 0)
-		comet_gateway_life_ended(same->gateway, instance, "address_taken");
+	if (strcmp(instance->address, match->address) == 0)
+		comet_gateway_process_crashed(match->gateway, instance, "address_reused");
 }
 
-/* A new process has an address: the one that had it before is over. */
+/* Reports a crash of each earlier process at the address of a new one. */
 static void
-end_earlier_at(struct comet_gateway *gateway, const char *address)
+crash_earlier_at(struct comet_gateway *gateway, const char *address)
 {
-	struct same_address same = {gateway, address};
+	struct address_match match = {gateway, address};
 
-	comet_instances_each(gateway->instances, end_if_there, &same);
+	comet_instances_each(gateway->instances, crash_if_at_address, &match);
 }
 
-/* Takes an entry of the latest life of an endpoint's process. */
+/* Applies an entry of the latest incarnation of an endpoint. */
 static void
-take_instance(struct comet_gateway *gateway, const struct comet_instance_record *record)
+apply_instance(struct comet_gateway *gateway, const struct comet_instance_record *record)
 {
 	const struct comet_instance *known = comet_instances_find(gateway->instances, record->id);
-	bool reborn = known != NULL && known->born_ms != record->born_ms;
+	bool restarted = known != NULL && known->process_start_ms != record->process_start_ms;
 	bool moved = has_moved(known, record);
 
 	log_listed(known, record, !gateway->listed);
-	if (reborn)
-		comet_gateway_life_ended(gateway, known, "started_again");
-	if (known == NULL && gateway->listed) /* before that nobody was there */
-		end_earlier_at(gateway, record->address);
-	comet_instances_put(gateway->instances, record, comet_timers_now_us());
-	if (record->draining || reborn || moved)
-		comet_upstream_forget(gateway->upstream, record->id);
-	if (reborn)
-		comet_relay_probe_earlier_life(gateway, record->id, record->born_ms);
+	if (restarted)
+		comet_gateway_process_crashed(gateway, known, "restarted");
+	/* Before the first list is complete, no earlier process is known. */
+	if (known == NULL && gateway->listed)
+		crash_earlier_at(gateway, record->address);
+	comet_instances_update(gateway->instances, record, comet_timers_now_us());
+	if (record->draining || restarted || moved)
+		comet_upstream_close_instance(gateway->upstream, record->id);
+	if (restarted)
+		comet_proxy_request_probe_previous_incarnation(
+			gateway, record->id, record->process_start_ms);
 }
 
 static void
@@ -172,73 +177,74 @@
 {
 	struct comet_gateway *gateway = ctx;
 
-	switch (comet_lives_tell(gateway->lives, record, comet_timers_now_us()))
+	switch (comet_incarnations_observe(gateway->incarnations, record, comet_timers_now_us()))
 	{
-	case COMET_LIFE_LATEST:
-		take_instance(gateway, record);
+	case COMET_INCARNATION_LATEST:
+		apply_instance(gateway, record);
 		break;
-	case COMET_LIFE_EARLIER:
+	case COMET_INCARNATION_EARLIER:
 		comet_log(COMET_LOG_NOTICE,
-			"event=earlier_life_ignored endpoint=%s born=%" G_GUINT64_FORMAT
+			"event=earlier_incarnation_ignored endpoint=%s born=%" G_GUINT64_FORMAT
 			" known=%" G_GUINT64_FORMAT,
-			record->id, record->born_ms,
-			comet_lives_born_ms(gateway->lives, record->id));
+			record->id, record->process_start_ms,
+			comet_incarnations_start_ms(gateway->incarnations, record->id));
 		break;
-	case COMET_LIFE_UNTOLD:
+	case COMET_INCARNATION_UNSPECIFIED:
 		gateway->counts.unreadable++;
-		drop_endpoint(gateway, record->id, "life_untold");
+		drop_endpoint(gateway, record->id, "incarnation_missing");
 		break;
 	}
 }
 
 static void
-on_earlier_believed(void *ctx, const struct comet_instance_record *record)
+on_earlier_accepted(void *ctx, const struct comet_instance_record *record)
 {
 	comet_log(COMET_LOG_NOTICE,
-		"event=earlier_life_believed endpoint=%s born=%" G_GUINT64_FORMAT, record->id,
-		record->born_ms);
-	take_instance(ctx, record);
+		"event=earlier_incarnation_accepted endpoint=%s born=%" G_GUINT64_FORMAT,
+		record->id, record->process_start_ms);
+	apply_instance(ctx, record);
 }
 
 void
 comet_gateway_tick_endpoints(struct comet_gateway *gateway, uint64_t now_us)
 {
-	comet_instances_tick(gateway->instances, now_us, on_dropped, gateway);
+	comet_instances_tick(gateway->instances, now_us, on_expired, gateway);
 	comet_evacuations_tick(gateway->evacuations, now_us);
-	comet_lives_tick(gateway->lives, now_us, on_earlier_believed, gateway);
+	comet_incarnations_tick(gateway->incarnations, now_us, on_earlier_accepted, gateway);
 }
 
 static void
-on_instance_gone(void *ctx, const char *id, uint64_t out_us)
+on_instance_gone(void *ctx, const char *id, uint64_t outage_us)
 {
 	struct comet_gateway *gateway = ctx;
-	const struct comet_lapse_bounds bounds = {
-		.usual_us = (uint64_t)gateway->settings->lapse_ms * 1000,
+	const struct comet_expiry_config config = {
+		.expiry_us = (uint64_t)gateway->settings->lapse_ms * 1000,
 		.settled_us = (uint64_t)gateway->settings->settled_ms * 1000,
 	};
 	uint64_t now_us = comet_timers_now_us();
 
-	if (out_us != 0 && comet_instances_lapse(gateway->instances, id, out_us, &bounds, now_us))
+	if (outage_us != 0 &&
+		comet_instances_schedule_expiry(gateway->instances, id, outage_us, &config, now_us))
 	{
 		comet_log(COMET_LOG_NOTICE,
-			"event=endpoint_lapsed endpoint=%s out_ms_ago=%" G_GUINT64_FORMAT, id,
-			(now_us - out_us) / 1000);
-		comet_lives_lapse(gateway->lives, id);
+			"event=endpoint_lapsed endpoint=%s outage_ms_ago=%" G_GUINT64_FORMAT, id,
+			(now_us - outage_us) / 1000);
+		comet_incarnations_schedule_expiry(gateway->incarnations, id);
 		return;
 	}
 	const struct comet_instance *instance = comet_instances_find(gateway->instances, id);
 	if (instance != NULL)
-		comet_gateway_life_ended(gateway, instance, "removed");
-	comet_lives_forget(gateway->lives, id);
+		comet_gateway_process_crashed(gateway, instance, "removed");
+	comet_incarnations_forget(gateway->incarnations, id);
 	drop_endpoint(gateway, id, "removed");
 }
 
-/* What this VM knows of a zone. */
+/* The endpoints of a zone and this VM's requests there. */
 struct zone_count
 {
 	const char *zone;
 	uint32_t endpoints;
-	uint32_t open; /* requests of this VM */
+	uint32_t open; /* requests of this VM in progress */
 };
 
 static void
@@ -249,7 +255,7 @@
 	if (strcmp(instance->zone, count->zone) != 0)
 		return;
 	count->endpoints++;
-	count->open += instance->own;
+	count->open += instance->local_requests;
 }
 
 static void
@@ -273,20 +279,20 @@
 }
 
 static void
-on_restored(void *ctx, const char *zone, bool doubtful)
+on_restored(void *ctx, const char *zone, bool tentative)
 {
 	struct comet_gateway *gateway = ctx;
 	uint64_t now_us = comet_timers_now_us();
 	uint64_t settled_us = (uint64_t)gateway->settings->settled_ms * 1000;
 
-	if (doubtful)
-		comet_evacuations_doubt(gateway->evacuations, zone, now_us + settled_us);
+	if (tentative)
+		comet_evacuations_schedule_expiry(gateway->evacuations, zone, now_us + settled_us);
 	else
 		comet_evacuations_end(gateway->evacuations, zone, now_us);
 }
 
 static void
-on_refused(void *ctx, const struct comet_directory_refusal *refusal)
+on_invalid_item(void *ctx, const struct comet_directory_invalid_item *invalid)
 {
 	struct comet_gateway *gateway = ctx;
 
@@ -294,10 +300,10 @@
 	comet_log(COMET_LOG_ERR,
 		"event=directory_item_refused key=%s revision=%" G_GUINT64_FORMAT
 		" effect=%s error=\"%s\"",
-		refusal->key, refusal->revision,
-		refusal->endpoint != NULL ? "endpoint_dropped" : "kept_last", refusal->why);
-	if (refusal->endpoint != NULL)
-		drop_endpoint(gateway, refusal->endpoint, "unreadable");
+		invalid->key, invalid->revision,
+		invalid->endpoint != NULL ? "endpoint_dropped" : "kept_last", invalid->why);
+	if (invalid->endpoint != NULL)
+		drop_endpoint(gateway, invalid->endpoint, "unreadable");
 }
 
 static void
@@ -307,23 +313,23 @@
 
 	gateway->listed = true;
 	if (position > gateway->position)
-		gateway->stale_us = 0; /* whoever is still ahead is so from now */
+		gateway->stale_us = 0; /* the grace for peers still ahead starts again */
 	gateway->position = position;
 	gateway->endpoints_position = endpoints;
-	comet_views_set_revision(gateway->views, position);
+	comet_gossip_set_revision(gateway->gossip, position);
 	comet_gateway_report_position(gateway, comet_timers_now_us());
 	comet_placement_run(gateway->placement, comet_timers_now_us());
 }
 
 static void
-on_era(void *ctx, uint64_t era, uint64_t before)
+on_epoch(void *ctx, uint64_t epoch, uint64_t before)
 {
 	struct comet_gateway *gateway = ctx;
 
 	comet_log(COMET_LOG_NOTICE,
 		"event=directory_era era=%" G_GUINT64_FORMAT " before=%" G_GUINT64_FORMAT
 		" revision=%" G_GUINT64_FORMAT,
-		era, before, comet_directory_revision(gateway->position));
+		epoch, before, comet_directory_revision(gateway->position));
 }
 
 static void
@@ -339,13 +345,13 @@
 }
 
 static void
-on_dependency(void *ctx, bool there, const char *why)
+on_availability_changed(void *ctx, bool available, const char *why)
 {
 	struct comet_gateway *gateway = ctx;
 	uint64_t now_us = comet_timers_now_us();
 
-	gateway->directory_lost = !there;
-	if (there)
+	gateway->directory_lost = !available;
+	if (available)
 	{
 		comet_log(COMET_LOG_NOTICE,
 			"event=directory_regained reason=%s lost_ms=%" G_GUINT64_FORMAT, why,
@@ -365,10 +371,10 @@
 	.instance_gone = on_instance_gone,
 	.evacuated = on_evacuated,
 	.restored = on_restored,
-	.refused = on_refused,
+	.item_invalid = on_invalid_item,
 	.revision = on_revision,
-	.era = on_era,
+	.epoch = on_epoch,
 	.called = on_called,
 	.answered = on_answered,
-	.dependency = on_dependency,
+	.availability_changed = on_availability_changed,
 };
--- a/libcometspindle/adapters/gateway/gateway_metrics.c
+++ b/libcometspindle/adapters/gateway/gateway_metrics.c
@@ -1,12 +1,13 @@
 /*
  * gateway_metrics.c
- * the counters, gauges and histograms of a gateway, in the text format that collectors read
+ * writes the metrics of a gateway in the Prometheus text format
  */
 #include <libcometspindle/adapters/gateway/gateway_private.h>
 
 #include <stddef.h>
 
-/* Begins a family: strict readers refuse samples without it, or apart from it. */
+/* Writes the type line of a metric family. Strict parsers reject samples that do not follow the
+ * type line of their family. */
 static void
 put_type(GString *out, const char *name, const char *type)
 {
@@ -32,11 +33,11 @@
 		{"relayed_error", counts->relayed_errors},
 		{"refused_early", counts->refused_early},
 		{"refused_team", counts->refused_team},
-		{"refused_crashing", counts->refused_crashing},
+		{"refused_crashing", counts->refused_quarantined},
 		{"refused_other", counts->refused_other},
 		{"failed", counts->failed},
-		{"cut", counts->cut},
-		{"caller_left", counts->left},
+		{"cut", counts->aborted},
+		{"caller_left", counts->callers_disconnected},
 	};
 
 	put_type(out, "requests_total", "counter");
@@ -47,7 +48,7 @@
 }
 
 static void
-put_asks(GString *out, const struct comet_gateway_counts *counts)
+put_slot_requests(GString *out, const struct comet_gateway_counts *counts)
 {
 	g_string_append_printf(out,
 		"# TYPE comet_slot_asks_total counter\n"
@@ -56,30 +57,31 @@
 		"comet_slot_asks_total{outcome=\"waited\"} %" G_GUINT64_FORMAT "\n"
 		"comet_slot_asks_total{outcome=\"unanswered\"} %" G_GUINT64_FORMAT "\n"
 		"comet_slot_asks_total{outcome=\"answered_others\"} %" G_GUINT64_FORMAT "\n",
-		counts->granted, counts->denied, counts->waited, counts->unanswered,
-		counts->answered);
+		counts->granted, counts->denied, counts->slot_waits_expired,
+		counts->slot_requests_unanswered, counts->slot_requests_answered);
 }
 
 static void
-put_charges(GString *out, const struct comet_gateway_counts *counts)
+put_quota_requests(GString *out, const struct comet_gateway_counts *counts)
 {
 	g_string_append_printf(out,
 		"# TYPE comet_charges_total counter\n"
 		"comet_charges_total{outcome=\"asked\"} %" G_GUINT64_FORMAT "\n"
 		"comet_charges_total{outcome=\"undecided\"} %" G_GUINT64_FORMAT "\n"
 		"comet_charges_total{outcome=\"answered_others\"} %" G_GUINT64_FORMAT "\n",
-		counts->charges_asked, counts->charges_undecided, counts->charges_answered);
+		counts->quota_requests_sent, counts->quota_requests_failed,
+		counts->quota_requests_answered);
 }
 
-/* Calls to the directory by their ends, and whether this VM makes them for itself (0), for its zone
- * (1), not at all (2), or for itself until it can follow others (3). */
+/* Writes the directory calls by result, and the directory mode: direct (0), reader of the zone (1),
+ * follower (2), or fallback, which reads directly until it can follow a reader (3). */
 static void
 put_directory_calls(GString *out, const struct comet_gateway *gateway)
 {
 	static const char *const names[COMET_DIRECTORY_CALLS] = {
 		[COMET_DIRECTORY_CALL_PAGE] = "page",
-		[COMET_DIRECTORY_CALL_NEWS] = "news",
-		[COMET_DIRECTORY_CALL_NO_NEWS] = "no_news",
+		[COMET_DIRECTORY_CALL_CHANGES] = "news",
+		[COMET_DIRECTORY_CALL_NO_CHANGES] = "no_news",
 		[COMET_DIRECTORY_CALL_FAILED] = "failed",
 	};
 
@@ -94,23 +96,24 @@
 static void
 put_crashes(GString *out, const struct comet_gateway *gateway)
 {
-	const struct comet_crashes_counts counts = comet_crashes_count(gateway->crashes);
+	const struct comet_crash_tracker_counts counts =
+		comet_crash_tracker_count(gateway->crash_tracker);
 
 	put(out, "crash_records", "gauge", counts.records);
-	put(out, "crash_suspects", "gauge", counts.suspects);
-	put(out, "requests_barred", "gauge", counts.barred);
+	put(out, "crash_suspects", "gauge", counts.crash_suspects);
+	put(out, "requests_barred", "gauge", counts.quarantined);
 }
 
-/* What is being written. */
+/* State of one response. */
 struct page
 {
 	struct comet_gateway *gateway;
 	GString *out;
 	uint64_t now_us;
-	const void *family; /* of services or endpoints, whose figures are written now */
+	const void *family; /**< the service or endpoint family that is being written */
 };
 
-/* One figure of each service; value: of one. */
+/* A metric family with one sample for each service; value returns the sample. */
 struct service_family
 {
 	const char *name;
@@ -126,15 +129,15 @@
 }
 
 static double
-repeats_left_of(const struct page *page, const char *service, uint32_t waiting)
+retries_left_of(const struct page *page, const char *service, uint32_t waiting)
 {
 	(void)waiting;
-	return comet_retry_budget_left(page->gateway->retries, service, page->now_us);
+	return comet_retry_budget_remaining(page->gateway->retries, service, page->now_us);
 }
 
 static const struct service_family service_families[] = {
 	{"requests_waiting", waiting_of},
-	{"repeats_left", repeats_left_of},
+	{"repeats_left", retries_left_of},
 };
 
 static void
@@ -162,7 +165,8 @@
 put_team(void *ctx, const struct comet_route_team *team)
 {
 	const struct page *page = ctx;
-	double left = comet_allowance_left(page->gateway->allowance, team->id, page->now_us);
+	double left =
+		comet_rate_limiter_remaining(page->gateway->rate_limiter, team->id, page->now_us);
 
 	if (team->rate_per_s > 0)
 		g_string_append_printf(
@@ -180,7 +184,7 @@
 	comet_route_table_each_team(table, put_team, page);
 }
 
-/* One figure of each endpoint; value: false when there is none for this one. */
+/* A metric family with one sample for each endpoint; value returns false if it has no sample. */
 struct endpoint_family
 {
 	const char *name;
@@ -188,35 +192,35 @@
 };
 
 static bool
-view_age_of(const struct comet_instance *instance, uint64_t now_us, double *value)
+state_age_of(const struct comet_instance *instance, uint64_t now_us, double *value)
 {
-	uint64_t viewed_us = MAX(instance->others_us, instance->told_us);
+	uint64_t updated_us = MAX(instance->gossip_us, instance->reported_us);
 
-	*value = (double)(now_us - viewed_us) / 1000000;
-	return viewed_us != 0;
+	*value = (double)(now_us - updated_us) / 1000000;
+	return updated_us != 0;
 }
 
 static bool
 running_of(const struct comet_instance *instance, uint64_t now_us, double *value)
 {
 	(void)now_us;
-	*value = instance->own;
+	*value = instance->local_requests;
 	return true;
 }
 
 static bool
-pace_of(const struct comet_instance *instance, uint64_t now_us, double *value)
+relative_latency_of(const struct comet_instance *instance, uint64_t now_us, double *value)
 {
 	(void)now_us;
-	*value = instance->pace;
+	*value = instance->relative_latency;
 	return true;
 }
 
 static bool
-avoided_of(const struct comet_instance *instance, uint64_t now_us, double *value)
+ejected_of(const struct comet_instance *instance, uint64_t now_us, double *value)
 {
 	(void)now_us;
-	*value = instance->avoid_us != 0 ? 1 : 0;
+	*value = instance->ejected_until_us != 0 ? 1 : 0;
 	return true;
 }
 
@@ -229,10 +233,10 @@
 }
 
 static bool
-cold_of(const struct comet_instance *instance, uint64_t now_us, double *value)
+slow_start_of(const struct comet_instance *instance, uint64_t now_us, double *value)
 {
-	*value = now_us < instance->start.until_us ? 1 : 0;
-	return instance->start_bounds->most_per_s > 0;
+	*value = now_us < instance->slow_start.until_us ? 1 : 0;
+	return instance->slow_start_config->max_per_s > 0;
 }
 
 static bool
@@ -244,7 +248,7 @@
 }
 
 static bool
-lapsed_of(const struct comet_instance *instance, uint64_t now_us, double *value)
+stale_of(const struct comet_instance *instance, uint64_t now_us, double *value)
 {
 	(void)now_us;
 	*value = instance->listed ? 0 : 1;
@@ -257,7 +261,8 @@
 	g_string_append_printf(ctx, "comet_zone_evacuated{zone=\"%s\"} 1\n", zone);
 }
 
-/* Evacuated zones, and slots there that were granted before their keepers knew. */
+/* Writes the evacuated zones, and the number of slots there that their owners granted before they
+ * knew of the evacuation. */
 static void
 put_evacuations(GString *out, const struct comet_gateway *gateway)
 {
@@ -267,14 +272,14 @@
 }
 
 static const struct endpoint_family endpoint_families[] = {
-	{"endpoint_view_age_seconds", view_age_of},
+	{"endpoint_view_age_seconds", state_age_of},
 	{"endpoint_running", running_of},
-	{"endpoint_pace", pace_of},
-	{"endpoint_avoided", avoided_of},
+	{"endpoint_pace", relative_latency_of},
+	{"endpoint_avoided", ejected_of},
 	{"endpoint_draining", draining_of},
 	{"endpoint_evacuated", evacuated_of},
-	{"endpoint_cold", cold_of},
-	{"endpoint_lapsed", lapsed_of},
+	{"endpoint_cold", slow_start_of},
+	{"endpoint_lapsed", stale_of},
 };
 
 static void
@@ -301,8 +306,8 @@
 	}
 }
 
-/* Appends one histogram for each kind of route; member: its offset in struct comet_gateway_times.
- */
+/* Writes one histogram for each kind of route. @param member its offset in struct
+ * comet_gateway_times. */
 static void
 put_histograms(GString *out, const struct comet_gateway *gateway, const char *name, size_t member)
 {
@@ -313,13 +318,14 @@
 		char labels[32];
 		g_snprintf(labels, sizeof labels, "kind=\"%s\"",
 			comet_route_kind_name((enum comet_route_kind)kind));
-		comet_latency_print(
-			(const struct comet_latency *)(times + member), out, name, labels);
+		comet_latency_histogram_print(
+			(const struct comet_latency_histogram *)(times + member), out, name,
+			labels);
 	}
 }
 
 static void
-put_times(GString *out, const struct comet_gateway *gateway)
+put_latencies(GString *out, const struct comet_gateway *gateway)
 {
 	put_histograms(out, gateway, "comet_first_byte_seconds",
 		offsetof(struct comet_gateway_times, first));
@@ -330,7 +336,7 @@
 }
 
 static void
-put_use(GString *out, const char *use, const struct comet_bytes *bytes)
+put_use(GString *out, const char *use, const struct comet_byte_counters *bytes)
 {
 	g_string_append_printf(out,
 		"comet_link_bytes_total{use=\"%s\",direction=\"in\"} %" G_GUINT64_FORMAT "\n"
@@ -338,7 +344,7 @@
 		use, bytes->received, use, bytes->sent);
 }
 
-/* Bytes through the VM's link, by what they were for. */
+/* Writes the bytes on the VM's link by use. */
 static void
 put_bytes(GString *out, const struct comet_gateway *gateway)
 {
@@ -348,12 +354,13 @@
 		[COMET_GATEWAY_USE_DIRECTORY] = "directory",
 		[COMET_GATEWAY_USE_PEERS] = "peers",
 	};
-	const struct comet_bytes *views = comet_view_link_bytes(gateway->link);
+	const struct comet_byte_counters *gossip =
+		comet_datagram_socket_bytes(gateway->datagram_socket);
 
 	put_type(out, "link_bytes_total", "counter");
 	for (size_t i = 0; i < COMET_GATEWAY_USES; i++)
 		put_use(out, names[i], &gateway->bytes[i]);
-	put_use(out, "datagrams", views);
+	put_use(out, "datagrams", gossip);
 }
 
 static void
@@ -362,7 +369,7 @@
 	const struct comet_gateway *gateway = page->gateway;
 	GString *out = page->out;
 
-	put(out, "directory_era", "gauge", (double)comet_directory_era(gateway->position));
+	put(out, "directory_era", "gauge", (double)comet_directory_epoch(gateway->position));
 	put(out, "directory_revision", "gauge",
 		(double)comet_directory_revision(gateway->position));
 	if (gateway->answered_us != 0)
@@ -373,37 +380,38 @@
 	put(out, "directory_transfers_abandoned_total", "counter",
 		(double)comet_upstream_counts(gateway->upstream)->abandoned);
 	put_type(out, "routes_lag_seconds", "histogram");
-	comet_latency_print(&gateway->routes_lag, out, "comet_routes_lag_seconds", "");
+	comet_latency_histogram_print(&gateway->routes_lag, out, "comet_routes_lag_seconds", "");
 	put(out, "routes_version", "gauge",
 		gateway->table != NULL ? (double)comet_route_table_version(gateway->table) : 0);
 }
 
 void
-comet_gateway_answer_metrics(struct comet_gateway *gateway, struct comet_front_request *request)
+comet_gateway_respond_metrics(
+	struct comet_gateway *gateway, struct comet_http_server_request *request)
 {
 	const struct comet_upstream_counts *up = comet_upstream_counts(gateway->upstream);
 	GString *out = g_string_new(NULL);
 	uint32_t known = 0;
-	uint32_t heard = 0;
+	uint32_t alive = 0;
 	struct page page = {.gateway = gateway, .out = out, .now_us = comet_timers_now_us()};
 
-	comet_views_count(gateway->views, &known, &heard);
+	comet_gossip_count_peers(gateway->gossip, &known, &alive);
 	put_outcomes(out, &gateway->counts);
-	comet_tally_print(gateway->ends, out, "comet_request_ends_total");
-	put_times(out, gateway);
-	put(out, "requests_open", "gauge", gateway->calls);
+	comet_counter_set_print(gateway->ends, out, "comet_request_ends_total");
+	put_latencies(out, gateway);
+	put(out, "requests_open", "gauge", gateway->open_request_count);
 	put_services(&page);
 	put_teams(&page);
 	put(out, "dispatches_total", "counter", (double)gateway->counts.dispatched);
-	put(out, "repeats_total", "counter", (double)gateway->counts.repeated);
+	put(out, "repeats_total", "counter", (double)gateway->counts.retried);
 	put(out, "resumes_total", "counter", (double)gateway->counts.resumed);
-	put_asks(out, &gateway->counts);
-	put_charges(out, &gateway->counts);
+	put_slot_requests(out, &gateway->counts);
+	put_quota_requests(out, &gateway->counts);
 	put_directory_calls(out, gateway);
 	put_crashes(out, gateway);
 	put_evacuations(out, gateway);
 	put(out, "vms_known", "gauge", known);
-	put(out, "vms_heard", "gauge", heard);
+	put(out, "vms_heard", "gauge", alive);
 	put(out, "endpoint_connections_opened_total", "counter", (double)up->opened);
 	put(out, "endpoint_connections_reused_total", "counter", (double)up->reused);
 	put(out, "endpoint_connections_open", "gauge", up->open);
@@ -411,7 +419,7 @@
 	put_directory(&page);
 	put_bytes(out, gateway);
 	put_endpoints(&page);
-	comet_front_answer(
+	comet_http_server_respond(
 		request, 200, "Content-Type: text/plain; version=0.0.4\r\n", out->str, out->len);
 	g_string_free(out, TRUE);
 }
--- a/libcometspindle/adapters/gateway/gateway_pages.c
+++ b/libcometspindle/adapters/gateway/gateway_pages.c
@@ -1,21 +1,22 @@
 /*
  * gateway_pages.c
- * what a gateway answers on its readiness and control addresses
+ * answers requests on the readiness and control addresses: readiness, metrics, directory copies
  */
 #include <libcometspindle/adapters/gateway/gateway_private.h>
 
 #include <string.h>
 
-/* Concurrent snapshots, of up to a megabyte each. */
-#define SNAPSHOTS_MAX 3
+/* Limit of connections up to which snapshots, of up to a megabyte each, are sent. */
+#define SNAPSHOT_CONNECTIONS_MAX 3
 
-/* Concurrent small deltas: all VMs of a zone request one from its readers at once. */
-#define DELTAS_MAX 256
+/* Limit of connections up to which small deltas are sent: all VMs of a zone request one from the
+ * zone's readers at once. */
+#define DELTA_CONNECTIONS_MAX 256
 #define DELTA_BYTES_MAX (64 * 1024)
 
-/* Queued documents: one second of a link of 10 Mbit/s. A VM that is rejected reads the directory.
- */
-#define DOCUMENTS_BYTES_MAX (1250 * 1000)
+/* Limit of queued routing documents: one second of a 10 Mbit/s link. A peer that is rejected reads
+ * the document from the directory. */
+#define QUEUED_DOCUMENT_BYTES_MAX (1250 * 1000)
 
 #define METRICS_PATH "/metrics"
 
@@ -32,24 +33,24 @@
 }
 
 static void
-on_readiness(void *ctx, struct comet_front_request *request)
+on_readiness(void *ctx, struct comet_http_server_request *request)
 {
 	const char *why = comet_gateway_not_ready(ctx);
 
 	if (why == NULL)
-		comet_front_answer(request, 200, NULL, "ready\n", 6);
+		comet_http_server_respond(request, 200, NULL, "ready\n", 6);
 	else
-		comet_front_answer(request, 503, NULL, why, strlen(why));
+		comet_http_server_respond(request, 503, NULL, why, strlen(why));
 }
 
 static void
-on_gone(void *ctx, struct comet_front_request *request)
+on_gone(void *ctx, struct comet_http_server_request *request)
 {
 	(void)ctx;
 	(void)request;
 }
 
-/* Writes a delta after a position given as text. */
+/* Returns the delta after a position given as text, or NULL if it is not a position. */
 static GBytes *
 delta_after(struct comet_gateway *gateway, const char *after,
 	GBytes *(*delta)(struct comet_directory *directory, uint64_t after))
@@ -61,79 +62,82 @@
 	return delta(gateway->directory, position);
 }
 
-/* Writes the delta that a peer requests, or a snapshot. */
+/* Returns the delta that a peer requests, or a snapshot. @return NULL if too many connections are
+ * open. */
 static GBytes *
 resync_for(struct comet_gateway *gateway, const char *target)
 {
 	const struct comet_directory_ops *ops = gateway->directory->ops;
-	uint32_t open = (uint32_t)comet_front_counts(gateway->control)->connections;
+	uint32_t open = (uint32_t)comet_http_server_counts(gateway->control)->connections;
 	GBytes *data = NULL;
 
-	if (open <= DELTAS_MAX && g_str_has_prefix(target, COMET_GATEWAY_ENDPOINTS_PATH))
+	if (open <= DELTA_CONNECTIONS_MAX && g_str_has_prefix(target, COMET_GATEWAY_ENDPOINTS_PATH))
 		data = delta_after(gateway, target + strlen(COMET_GATEWAY_ENDPOINTS_PATH),
 			ops->endpoints_delta);
-	else if (open <= DELTAS_MAX && g_str_has_prefix(target, COMET_GATEWAY_DELTA_PATH))
+	else if (open <= DELTA_CONNECTIONS_MAX &&
+		 g_str_has_prefix(target, COMET_GATEWAY_DELTA_PATH))
 		data = delta_after(gateway, target + strlen(COMET_GATEWAY_DELTA_PATH), ops->delta);
-	if (data == NULL && open <= SNAPSHOTS_MAX)
+	if (data == NULL && open <= SNAPSHOT_CONNECTIONS_MAX)
 		data = ops->snapshot(gateway->directory);
-	if (data == NULL || open <= SNAPSHOTS_MAX || g_bytes_get_size(data) <= DELTA_BYTES_MAX)
+	if (data == NULL || open <= SNAPSHOT_CONNECTIONS_MAX ||
+		g_bytes_get_size(data) <= DELTA_BYTES_MAX)
 		return data;
 	g_bytes_unref(data);
 	return NULL;
 }
 
-/* Writes the routing document for a peer. @return NULL if it is unknown or the queue is full. */
+/* Returns the routing document for a peer. @return NULL if it is unknown or the queue is full. */
 static GBytes *
 document_for(struct comet_gateway *gateway, const char *query)
 {
 	const struct comet_directory_ops *ops = gateway->directory->ops;
-	size_t unsent = comet_front_unsent(gateway->control);
+	size_t unsent = comet_http_server_unsent_bytes(gateway->control);
 	GBytes *document = ops->documents(gateway->directory, query);
 
 	if (document == NULL || unsent == 0 ||
-		unsent + g_bytes_get_size(document) <= DOCUMENTS_BYTES_MAX)
+		unsent + g_bytes_get_size(document) <= QUEUED_DOCUMENT_BYTES_MAX)
 		return document;
 	g_bytes_unref(document);
 	return NULL;
 }
 
 static void
-answer_resync(struct comet_front_request *request, GBytes *bytes)
+respond_resync(struct comet_http_server_request *request, GBytes *bytes)
 {
 	gsize length = 0;
 
 	/* An idle connection would count as a transfer. */
-	comet_front_end_connection(request);
+	comet_http_server_close_after_response(request);
 	if (bytes == NULL)
 	{
-		comet_front_answer(request, 503, NULL, "", 0);
+		comet_http_server_respond(request, 503, NULL, "", 0);
 		return;
 	}
 	const char *data = g_bytes_get_data(bytes, &length);
-	comet_front_answer(request, 200, "Content-Type: application/json\r\n", data, length);
+	comet_http_server_respond(request, 200, "Content-Type: application/json\r\n", data, length);
 	g_bytes_unref(bytes);
 }
 
 static void
-on_control(void *ctx, struct comet_front_request *request)
+on_control(void *ctx, struct comet_http_server_request *request)
 {
 	const char *target = request->head->target;
 
 	if (g_str_has_prefix(target, COMET_GATEWAY_DOCUMENT_PATH))
-		answer_resync(
+		respond_resync(
 			request, document_for(ctx, target + strlen(COMET_GATEWAY_DOCUMENT_PATH)));
 	else if (strcmp(target, COMET_GATEWAY_SNAPSHOT_PATH) == 0 ||
 		 g_str_has_prefix(target, COMET_GATEWAY_DELTA_PATH) ||
 		 g_str_has_prefix(target, COMET_GATEWAY_ENDPOINTS_PATH))
-		answer_resync(request, resync_for(ctx, target));
+		respond_resync(request, resync_for(ctx, target));
 	else if (strcmp(target, METRICS_PATH) == 0)
-		comet_gateway_answer_metrics(ctx, request);
+		comet_gateway_respond_metrics(ctx, request);
 	else
-		comet_front_answer(request, 404, NULL, "", 0);
+		comet_http_server_respond(request, 404, NULL, "", 0);
 }
 
-const struct comet_front_events comet_gateway_readiness_events = {
+const struct comet_http_server_events comet_gateway_readiness_events = {
 	.request = on_readiness, .gone = on_gone};
 
-const struct comet_front_events comet_gateway_control_events = {
+const struct comet_http_server_events comet_gateway_control_events = {
 	.request = on_control, .gone = on_gone};
--- a/libcometspindle/adapters/gateway/gateway_resync.c
+++ b/libcometspindle/adapters/gateway/gateway_resync.c
@@ -7,8 +7,9 @@
 #include <libcometspindle/log.h>
 #include <string.h>
 
-/* Grace before a resync from a peer: our own watch usually delivers the same change. It is longer
- * while the directory answers, so that hundreds of VMs that start together do not query each other.
+/* Grace before a resync from a peer: this VM's watch usually delivers the same change. It is longer
+ * while the directory responds, so that hundreds of VMs that start together do not query each
+ * other.
  */
 #define STALE_GRACE_US 400000
 #define STALE_GRACE_ANSWERED_US 1500000
@@ -17,33 +18,32 @@
  * calls of hundreds of VMs that start together, and snapshots would fill their links. */
 #define PROGRESS_US 1000000
 
-/* Grace for an answer that is arriving from the directory: a snapshot would share its link. */
+/* Grace for a response that is arriving from the directory: a snapshot would share its link. */
 #define ARRIVING_US 5000000
 
-/* Until a peer's answer begins: a connect and a round trip on a busy narrow link. */
+/* Until a peer's response begins: a connect and a round trip on a busy narrow link. */
 #define RESYNC_TIMEOUT_US 1000000
 
 /* Time for a reader to report that it holds a document before the directory is read, and backoff
  * after a failed request. */
 #define READER_RETRY_US 300000
 
-/* HTTP status of a complete answer. */
-#define STATUS_GOOD 200
+#define STATUS_OK 200
 
-/* Applies a peer's answer. @return false if there is none, or it is malformed. */
+/* Applies the response of a peer. @return false if the request failed or it is malformed. */
 static bool
-take_answer(struct comet_gateway *gateway, const struct comet_fetch_answer *answer)
+apply_response(struct comet_gateway *gateway, const struct comet_fetch_response *response)
 {
 	GError *error = NULL;
 
-	if (answer->failure != NULL || answer->status != STATUS_GOOD)
+	if (response->failure != NULL || response->status != STATUS_OK)
 	{
 		comet_log(COMET_LOG_NOTICE, "event=resync_failed reason=%s status=%u",
-			answer->failure != NULL ? answer->failure : "status", answer->status);
+			response->failure != NULL ? response->failure : "status", response->status);
 		return false;
 	}
-	if (gateway->directory->ops->offer(
-		    gateway->directory, answer->body, answer->length, &error))
+	if (gateway->directory->ops->apply(
+		    gateway->directory, response->body, response->length, &error))
 		return true;
 	comet_log(COMET_LOG_WARNING, "event=resync_rejected error=\"%s\"", error->message);
 	g_clear_error(&error);
@@ -51,35 +51,37 @@
 }
 
 static void
-on_copy(void *ctx, const struct comet_fetch_answer *answer)
+on_resync(void *ctx, const struct comet_fetch_response *response)
 {
 	struct comet_gateway *gateway = ctx;
 
-	gateway->resyncing = NULL; /* frees itself after this */
-	if (!take_answer(gateway, answer))
-		comet_readers_failed(gateway->readers, comet_timers_now_us());
+	gateway->resyncing = NULL; /* the fetch frees itself after this handler */
+	if (!apply_response(gateway, response))
+		comet_reader_election_report_failure(
+			gateway->reader_election, comet_timers_now_us());
 	comet_gateway_fetch_document(gateway, comet_timers_now_us());
 }
 
 static void
-on_document(void *ctx, const struct comet_fetch_answer *answer)
+on_document(void *ctx, const struct comet_fetch_response *response)
 {
 	struct comet_gateway *gateway = ctx;
 	const struct comet_directory_ops *ops = gateway->directory->ops;
 
-	gateway->fetching_document = NULL; /* frees itself after this */
-	if (take_answer(gateway, answer) && ops->missing_document(gateway->directory) == 0)
+	gateway->fetching_document = NULL; /* the fetch frees itself after this handler */
+	if (apply_response(gateway, response) && ops->missing_document(gateway->directory) == 0)
 		return;
 	gateway->document_failed_us = comet_timers_now_us();
 	ops->read_document(gateway->directory);
 }
 
 static struct comet_fetch *
-ask(struct comet_gateway *gateway, uint32_t vm, const char *target, comet_fetch_handler handler)
+request_from_peer(
+	struct comet_gateway *gateway, uint32_t vm, const char *target, comet_fetch_handler handler)
 {
-	char ip[COMET_VIEW_ADDRESS_MAX];
+	char ip[COMET_IPV4_TEXT_BYTES];
 	const char *port = strrchr(gateway->settings->control, ':'); /* the same on all VMs */
-	char *address = g_strconcat(comet_view_link_text(vm, ip), port, NULL);
+	char *address = g_strconcat(comet_datagram_socket_format_address(vm, ip), port, NULL);
 	struct comet_fetch_request request = {
 		.address = address,
 		.target = target,
@@ -96,14 +98,15 @@
 static void
 request_snapshot(struct comet_gateway *gateway, uint32_t vm)
 {
-	char ip[COMET_VIEW_ADDRESS_MAX];
+	char ip[COMET_IPV4_TEXT_BYTES];
 
 	comet_log(COMET_LOG_NOTICE,
 		"event=snapshot_requested vm=%s era=%" G_GUINT64_FORMAT
 		" revision=%" G_GUINT64_FORMAT,
-		comet_view_link_text(vm, ip), comet_directory_era(gateway->position),
+		comet_datagram_socket_format_address(vm, ip),
+		comet_directory_epoch(gateway->position),
 		comet_directory_revision(gateway->position));
-	gateway->resyncing = ask(gateway, vm, COMET_GATEWAY_SNAPSHOT_PATH, on_copy);
+	gateway->resyncing = request_from_peer(gateway, vm, COMET_GATEWAY_SNAPSHOT_PATH, on_resync);
 }
 
 void
@@ -113,7 +116,7 @@
 		return;
 	char *target = g_strdup_printf(
 		COMET_GATEWAY_ENDPOINTS_PATH "%" G_GUINT64_FORMAT, gateway->endpoints_position);
-	gateway->resyncing = ask(gateway, vm, target, on_copy);
+	gateway->resyncing = request_from_peer(gateway, vm, target, on_resync);
 	g_free(target);
 }
 
@@ -123,7 +126,7 @@
 	char *query = gateway->directory->ops->query(gateway->directory);
 	char *target = g_strconcat(COMET_GATEWAY_DOCUMENT_PATH, query, NULL);
 
-	gateway->fetching_document = ask(gateway, vm, target, on_document);
+	gateway->fetching_document = request_from_peer(gateway, vm, target, on_document);
 	g_free(target);
 	g_free(query);
 }
@@ -140,23 +143,23 @@
 	else if (gateway->document_missing_us == 0)
 		gateway->document_missing_us = now_us;
 	if (position == 0 || gateway->fetching_document != NULL ||
-		ops->is_arriving(gateway->directory) ||
+		ops->is_receiving(gateway->directory) ||
 		(gateway->document_failed_us != 0 &&
 			now_us - gateway->document_failed_us < READER_RETRY_US))
 		return;
-	uint32_t vm = comet_readers_pick(gateway->readers, position, now_us);
+	uint32_t vm = comet_reader_election_pick(gateway->reader_election, position, now_us);
 	if (vm != 0)
 		request_document(gateway, vm);
 	else if (now_us - gateway->document_missing_us >= READER_RETRY_US)
 		ops->read_document(gateway->directory);
 }
 
-/* A watch that started in an outage is never answered, though its connection stands. It is
- * restarted once per reported position, since a report may be false. */
+/* Restarts a watch that started in an outage: it is never answered, although its connection stays
+ * open. A watch is restarted once per reported position, since a report may be false. */
 static bool
-restarted_watch(struct comet_gateway *gateway, uint64_t now_us)
+restart_stale_watch(struct comet_gateway *gateway, uint64_t now_us)
 {
-	uint64_t newest = comet_views_newest(gateway->views);
+	uint64_t newest = comet_gossip_newest_revision(gateway->gossip);
 
 	if (newest <= gateway->restarted_for || now_us - gateway->stale_us < STALE_GRACE_US ||
 		!gateway->directory->ops->restart_stale_watch(gateway->directory, STALE_GRACE_US))
@@ -168,9 +171,9 @@
 void
 comet_gateway_resync(struct comet_gateway *gateway, uint64_t now_us)
 {
-	uint32_t vm = comet_views_newer(
-		gateway->views, gateway->position, comet_draw_u32(&gateway->draw));
-	uint64_t patience_us = gateway->directory_lost ? STALE_GRACE_US : STALE_GRACE_ANSWERED_US;
+	uint32_t vm = comet_gossip_pick_newer_peer(
+		gateway->gossip, gateway->position, comet_random_u32(&gateway->random));
+	uint64_t grace_us = gateway->directory_lost ? STALE_GRACE_US : STALE_GRACE_ANSWERED_US;
 
 	if (vm == 0)
 	{
@@ -182,20 +185,20 @@
 		return;
 	if (gateway->stale_us == 0)
 		gateway->stale_us = now_us;
-	if (gateway->directory->ops->is_arriving(gateway->directory) &&
+	if (gateway->directory->ops->is_receiving(gateway->directory) &&
 		now_us - gateway->stale_us < ARRIVING_US)
 		return;
-	if (restarted_watch(gateway, now_us))
+	if (restart_stale_watch(gateway, now_us))
 	{
 		gateway->stale_us = now_us; /* grace for the new watch */
 		return;
 	}
 	if (gateway->resyncing != NULL || gateway->fetching_document != NULL ||
-		now_us - gateway->stale_us < patience_us)
+		now_us - gateway->stale_us < grace_us)
 		return;
 	gateway->stale_us = now_us;
 	/* Endpoints are up to date: only the document is missing. */
-	if (comet_views_newest(gateway->views) <= gateway->endpoints_position)
+	if (comet_gossip_newest_revision(gateway->gossip) <= gateway->endpoints_position)
 		request_document(gateway, vm);
 	else
 		request_snapshot(gateway, vm);
--- a/libcometspindle/adapters/gateway/gateway_send.c
+++ b/libcometspindle/adapters/gateway/gateway_send.c
@@ -1,272 +1,285 @@
 /*
  * gateway_send.c
- * one request at a gateway: its sendings to endpoints
+ * attempts of a proxy request: sending, silence timeouts and retries
  */
-#include <libcometspindle/adapters/gateway/gateway_relay.h>
+#include <libcometspindle/adapters/gateway/proxy_request.h>
 
 #include <libcometspindle/adapters/gateway/forward_head.h>
 #include <libcometspindle/log.h>
 #include <string.h>
 #include <talloc.h>
 
-/* An endpoint is silent after so many times its expected time, and at least the time below: a
- * lost packet is repeated within a quarter of a second. */
-#define SILENT_FACTOR 4
-#define SILENT_MIN_US 600000
+/* An endpoint counts as silent after this multiple of the expected time to the first byte, and not
+ * before the minimum below: a lost packet is retransmitted within a quarter of a second. */
+#define SILENCE_FACTOR 4
+#define SILENCE_MIN_US 600000
 
-/* May this request be sent once more, after it may have run? */
 bool
-comet_relay_may_repeat(struct comet_relay *relay)
+comet_proxy_request_may_retry(struct comet_proxy_request *proxy)
 {
-	struct comet_gateway *gateway = relay->gateway;
+	struct comet_gateway *gateway = proxy->gateway;
 	uint64_t now_us = comet_timers_now_us();
 
-	if (relay->may_have_run && !comet_route_repeatable(relay->route))
+	if (proxy->may_have_run && !comet_route_is_retryable(proxy->route))
 		return false;
-	/* Endpoints that fall silent are known to have crashed seconds later, in which a request
-	 * would go on to others. */
-	if (comet_relay_is_barred(relay) ||
-		comet_crashes_doubts(gateway->crashes, &relay->fingerprint, now_us))
+	/* The crash of a silent endpoint is confirmed only seconds later. The request must not be
+	 * sent to further endpoints in that time. */
+	if (comet_proxy_request_is_quarantined(proxy) ||
+		comet_crash_tracker_is_undecided(
+			gateway->crash_tracker, &proxy->fingerprint, now_us))
 		return false;
-	if (relay->attempts >= MAX(relay->route->max_attempts, 1) || now_us >= relay->end_us)
+	if (proxy->attempts >= MAX(proxy->route->max_attempts, 1) || now_us >= proxy->deadline_us)
 		return false;
-	if (relay->attempts == 0)
+	if (proxy->attempts == 0)
 		return true;
-	return comet_retry_budget_take(gateway->retries, relay->service, now_us);
+	return comet_retry_budget_take(gateway->retries, proxy->service, now_us);
 }
 
-/* Places the request again. */
 void
-comet_relay_place_again(struct comet_relay *relay, const char *reason)
+comet_proxy_request_retry(struct comet_proxy_request *proxy, const char *reason)
 {
-	struct comet_gateway *gateway = relay->gateway;
+	struct comet_gateway *gateway = proxy->gateway;
 	uint64_t now_us = comet_timers_now_us();
 
-	gateway->counts.repeated++;
+	gateway->counts.retried++;
 	comet_log(COMET_LOG_INFO,
-		"event=repeated request=%s reason=%s attempts=%u events=%u "
+		"event=retried request=%s reason=%s attempts=%u events=%u "
 		"unfinished_bytes=%" G_GUINT64_FORMAT,
-		relay->id, reason, relay->attempts, comet_relay_events(relay),
-		relay->unfinished_bytes);
-	if (!comet_placement_has_other(gateway->placement, &relay->item))
+		proxy->id, reason, proxy->attempts, comet_proxy_request_events(proxy),
+		proxy->unfinished_bytes);
+	if (!comet_placement_has_unattempted(gateway->placement, &proxy->item))
 	{
-		relay->item.n_tried = 0; /* the only one there is may take it again */
-		relay->anywhere = true;
+		proxy->item.n_attempted = 0; /* all endpoints have been tried: allow them again */
+		proxy->retry_same_endpoint = true;
 	}
-	relay->item.latest_us = MAX(relay->item.latest_us, now_us + (relay->end_us - now_us) / 2);
-	if (relay->started) /* what counts now is the pause that its reader sees */
-		relay->item.aim_us = now_us + (uint64_t)relay->route->gap_ms * 1000;
-	comet_placement_submit(gateway->placement, &relay->item, now_us);
+	proxy->item.dispatch_deadline_us =
+		MAX(proxy->item.dispatch_deadline_us, now_us + (proxy->deadline_us - now_us) / 2);
+	/* Once the response has started, the relevant latency is the gap that the caller sees. */
+	if (proxy->response_started)
+		proxy->item.soft_deadline_us =
+			now_us + (uint64_t)proxy->route->target_gap_ms * 1000;
+	comet_placement_submit(gateway->placement, &proxy->item, now_us);
 }
 
-/* Writes the request as the endpoint is to get it. */
+/* Writes the request that is sent to the endpoint. */
 static GString *
-write_request(struct comet_relay *relay, const struct comet_instance *instance, uint64_t now_us)
+write_request(
+	struct comet_proxy_request *proxy, const struct comet_instance *instance, uint64_t now_us)
 {
-	const GByteArray *body = relay->request->body;
-	struct comet_forward forward = {
-		.left_ms = MAX((relay->end_us - now_us) / 1000, 1),
+	const GByteArray *body = proxy->request->body;
+	struct comet_forward_params forward = {
+		.remaining_ms = MAX((proxy->deadline_us - now_us) / 1000, 1),
 		.instance = instance->id,
-		.team = relay->team != NULL ? relay->team->name : NULL,
-		.last_event = relay->resuming ? comet_event_stream_last_id(relay->events) : NULL,
+		.team = proxy->team != NULL ? proxy->team->name : NULL,
+		.last_event = proxy->resuming ? comet_event_stream_last_id(proxy->events) : NULL,
 		.body_bytes = body->len,
 	};
 	GString *out = g_string_sized_new(1024 + body->len);
 
-	comet_forward_write_head(out, relay->request->head, relay->gateway->names, &forward);
+	comet_forward_write_head(out, proxy->request->head, proxy->gateway->names, &forward);
 	g_string_append_len(out, (const char *)body->data, body->len);
 	return out;
 }
 
-/* Can another run follow this one? What a caller has begun to read is followed only by the rest of
- * a stream whose events have ids: anything else would join two runs. */
+/* Returns whether the response may be completed by another attempt. A response that was started can
+ * only be resumed if it is a stream whose events have ids. Otherwise the caller would receive the
+ * output of two runs as one response. */
 static bool
-can_be_followed(const struct comet_relay *relay)
+can_be_continued(const struct comet_proxy_request *proxy)
 {
-	if (!relay->started)
+	if (!proxy->response_started)
 		return true;
-	return comet_relay_is_stream(relay) && comet_event_stream_last_id(relay->events) != NULL;
+	return comet_proxy_request_is_stream(proxy) &&
+	       comet_event_stream_last_id(proxy->events) != NULL;
 }
 
-/* When the endpoint was last heard, as far as its silence goes. While its caller is slow it is not
- * read; and what lies unread came while this process was stopped, after which sound endpoints
- * counted as silent. */
+/* Returns the time of the endpoint's last activity for the silence timeout. The endpoint is not
+ * silent while reading is paused for a slow caller, nor while received data has not been read yet:
+ * after this process had been stopped, healthy endpoints with unread data counted as silent. */
 static uint64_t
-last_word_us(const struct comet_relay *relay, uint64_t now_us)
+last_activity_us(const struct comet_proxy_request *proxy, uint64_t now_us)
 {
-	if (relay->paused || comet_exchange_has_news(relay->exchange))
+	if (proxy->upstream_paused || comet_exchange_has_pending_events(proxy->exchange))
 		return now_us;
-	return MAX(relay->sent_us, relay->last_us);
+	return MAX(proxy->sent_us, proxy->last_byte_us);
 }
 
-/* No word for longer than there should be. */
 static void
-on_silence(void *ctx)
+on_silence_timeout(void *ctx)
 {
-	struct comet_relay *relay = ctx;
+	struct comet_proxy_request *proxy = ctx;
 	uint64_t now_us = comet_timers_now_us();
-	uint64_t last_us = last_word_us(relay, now_us);
+	uint64_t last_us = last_activity_us(proxy, now_us);
 
-	relay->silence = NULL;
-	if (now_us - last_us < relay->silent_after_us)
+	proxy->silence_timer = NULL;
+	if (now_us - last_us < proxy->silence_timeout_us)
 	{
-		relay->silence = comet_timers_add(relay->gateway->timers, relay,
-			relay->silent_after_us - (now_us - last_us), on_silence, relay);
+		proxy->silence_timer = comet_timers_add(proxy->gateway->timers, proxy,
+			proxy->silence_timeout_us - (now_us - last_us), on_silence_timeout, proxy);
 		return;
 	}
-	struct comet_instance *instance = comet_relay_instance(relay);
-	bool doubted = instance != NULL && comet_instance_doubt(instance, last_us, now_us);
+	struct comet_instance *instance = comet_proxy_request_instance(proxy);
+	bool ejected =
+		instance != NULL && comet_instance_eject_if_silent(instance, last_us, now_us);
 	comet_log(COMET_LOG_NOTICE,
 		"event=silent request=%s endpoint=%s silent_ms=%" G_GUINT64_FORMAT
-		" doubted=%d events=%u body_bytes=%" G_GUINT64_FORMAT,
-		relay->id, relay->instance, comet_relay_since_ms(last_us, now_us), doubted,
-		comet_relay_events(relay), relay->body_bytes);
-	if (!comet_route_repeatable(relay->route) || !can_be_followed(relay) ||
-		!comet_relay_may_repeat(relay))
-		return; /* all that is left is to wait */
-	relay->may_have_run = true;
-	comet_relay_end_sending(relay, COMET_DISPATCH_SILENT);
-	relay->resuming = relay->started;
-	comet_relay_place_again(relay, "silent");
+		" ejected=%d events=%u body_bytes=%" G_GUINT64_FORMAT,
+		proxy->id, proxy->instance_id, comet_proxy_request_elapsed_ms(last_us, now_us),
+		ejected, comet_proxy_request_events(proxy), proxy->attempt_body_bytes);
+	if (!comet_route_is_retryable(proxy->route) || !can_be_continued(proxy) ||
+		!comet_proxy_request_may_retry(proxy))
+		return; /* keep waiting for this endpoint */
+	proxy->may_have_run = true;
+	comet_proxy_request_end_attempt(proxy, COMET_DISPATCH_SILENT);
+	proxy->resuming = proxy->response_started;
+	comet_proxy_request_retry(proxy, "silent");
 }
 
 static void
-watch_silence(struct comet_relay *relay, const struct comet_instance *instance, uint64_t now_us)
+start_silence_timer(
+	struct comet_proxy_request *proxy, const struct comet_instance *instance, uint64_t now_us)
 {
 	uint64_t first_us = 0;
-	uint64_t whole_us = 0;
+	uint64_t total_us = 0;
 
-	comet_instance_expect(instance, &relay->item.job, now_us, &first_us, &whole_us);
-	relay->silent_after_us = MAX(SILENT_FACTOR * first_us, SILENT_MIN_US);
-	relay->silence = comet_timers_add(
-		relay->gateway->timers, relay, relay->silent_after_us, on_silence, relay);
+	comet_instance_estimate(instance, &proxy->item.size, now_us, &first_us, &total_us);
+	proxy->silence_timeout_us = MAX(SILENCE_FACTOR * first_us, SILENCE_MIN_US);
+	proxy->silence_timer = comet_timers_add(proxy->gateway->timers, proxy,
+		proxy->silence_timeout_us, on_silence_timeout, proxy);
 }
 
-/* A request that an ended process had waits for nothing: probed, its connection breaks within two
- * seconds, else one that may not be repeated is held until its caller's time is over. One that the
- * new process took before this VM knew of it goes on, since its connection stands. */
+/* A process that has ended does not answer. Probing breaks the connection within two seconds;
+ * otherwise a request that may not be retried would wait until its deadline. An attempt that the
+ * new process accepted before this VM knew of the restart continues, since its connection is
+ * intact. */
 void
-comet_relay_probe_earlier_life(struct comet_gateway *gateway, const char *id, uint64_t born_ms)
+comet_proxy_request_probe_previous_incarnation(
+	struct comet_gateway *gateway, const char *id, uint64_t process_start_ms)
 {
-	for (GList *at = gateway->sendings.head; at != NULL; at = at->next)
+	for (GList *at = gateway->active_attempts.head; at != NULL; at = at->next)
 	{
-		const struct comet_relay *relay = at->data;
-		if (relay->born_ms == born_ms || strcmp(relay->instance, id) != 0)
+		const struct comet_proxy_request *proxy = at->data;
+		if (proxy->process_start_ms == process_start_ms ||
+			strcmp(proxy->instance_id, id) != 0)
 			continue;
 		comet_log(COMET_LOG_INFO,
-			"event=probed request=%s endpoint=%s born=%" G_GUINT64_FORMAT, relay->id,
-			id, relay->born_ms);
-		comet_exchange_probe(relay->exchange);
+			"event=probed request=%s endpoint=%s born=%" G_GUINT64_FORMAT, proxy->id,
+			id, proxy->process_start_ms);
+		comet_exchange_probe(proxy->exchange);
 	}
 }
 
-/* A sending failed in a way that may have run the request. */
 void
-comet_relay_sending_broke(struct comet_relay *relay, enum comet_dispatch_result result)
+comet_proxy_request_attempt_failed(
+	struct comet_proxy_request *proxy, enum comet_dispatch_result result)
 {
-	relay->may_have_run = true;
+	proxy->may_have_run = true;
 	comet_log(COMET_LOG_NOTICE,
-		"event=sending_failed request=%s endpoint=%s result=%s status=%u events=%u "
+		"event=attempt_failed request=%s endpoint=%s result=%s status=%u events=%u "
 		"body_bytes=%" G_GUINT64_FORMAT,
-		relay->id, relay->instance, comet_dispatch_result_name(result),
-		relay->head != NULL ? relay->head->status : 0, comet_relay_events(relay),
-		relay->body_bytes);
-	comet_relay_end_sending(relay, result);
-	if (!can_be_followed(relay))
+		proxy->id, proxy->instance_id, comet_dispatch_result_name(result),
+		proxy->head != NULL ? proxy->head->status : 0, comet_proxy_request_events(proxy),
+		proxy->attempt_body_bytes);
+	comet_proxy_request_end_attempt(proxy, result);
+	if (!can_be_continued(proxy))
 	{
-		comet_relay_cut(relay, "endpoint_broke");
+		comet_proxy_request_abort(proxy, "endpoint_broke");
 		return;
 	}
-	if (!comet_relay_may_repeat(relay))
+	if (!comet_proxy_request_may_retry(proxy))
 	{
-		comet_relay_give_up(relay, 502, "endpoint_broke");
+		comet_proxy_request_fail(proxy, 502, "endpoint_broke");
 		return;
 	}
-	relay->resuming = relay->started;
-	comet_relay_place_again(relay, "endpoint_broke");
+	proxy->resuming = proxy->response_started;
+	comet_proxy_request_retry(proxy, "endpoint_broke");
 }
 
-/* The endpoint said that it has not run it. */
 void
-comet_relay_sending_refused(struct comet_relay *relay)
+comet_proxy_request_attempt_refused(struct comet_proxy_request *proxy)
 {
-	bool wrong = relay->head->status == 421;
-	const char *told = comet_http_head_get(relay->head, "Retry-After");
+	bool wrong_instance = proxy->head->status == 421;
+	const char *retry_after = comet_http_head_get(proxy->head, "Retry-After");
 	uint32_t retry_after_ms = 0;
 
-	if (told != NULL && !comet_wire_parse_seconds(told, &retry_after_ms))
+	if (retry_after != NULL && !comet_header_parse_seconds(retry_after, &retry_after_ms))
 		comet_log(COMET_LOG_NOTICE,
-			"event=header_ignored request=%s endpoint=%s header=Retry-After", relay->id,
-			relay->instance);
+			"event=header_ignored request=%s endpoint=%s header=Retry-After", proxy->id,
+			proxy->instance_id);
 	comet_log(COMET_LOG_INFO,
 		"event=endpoint_refused request=%s endpoint=%s status=%u "
 		"body_bytes=%" G_GUINT64_FORMAT,
-		relay->id, relay->instance, relay->head->status, relay->body_bytes);
-	comet_relay_end_sending(relay, wrong ? COMET_DISPATCH_WRONG : COMET_DISPATCH_REFUSED);
-	if (comet_relay_may_repeat(relay))
-		comet_relay_place_again(relay, wrong ? "wrong_instance" : "endpoint_full");
-	else if (relay->started)
-		comet_relay_cut(relay, "endpoint_full");
+		proxy->id, proxy->instance_id, proxy->head->status, proxy->attempt_body_bytes);
+	comet_proxy_request_end_attempt(
+		proxy, wrong_instance ? COMET_DISPATCH_WRONG_INSTANCE : COMET_DISPATCH_REFUSED);
+	if (comet_proxy_request_may_retry(proxy))
+		comet_proxy_request_retry(
+			proxy, wrong_instance ? "wrong_instance" : "endpoint_full");
+	else if (proxy->response_started)
+		comet_proxy_request_abort(proxy, "endpoint_full");
 	else
-		comet_relay_refuse(relay, "endpoint_full", MAX(retry_after_ms, 200));
+		comet_proxy_request_refuse(proxy, "endpoint_full", MAX(retry_after_ms, 200));
 }
 
-/* Placement has chosen: sends the request. */
+/* Sends the request to the endpoint that placement has selected. */
 static void
 on_dispatch(void *ctx, struct comet_placement_item *item, struct comet_instance *instance)
 {
 	struct comet_gateway *gateway = ctx;
-	struct comet_relay *relay = item->owner;
-	const struct comet_placement_reason *reason = comet_placement_reason(gateway->placement);
+	struct comet_proxy_request *proxy = item->user_data;
+	const struct comet_placement_decision *reason =
+		comet_placement_decision(gateway->placement);
 	uint64_t now_us = comet_timers_now_us();
-	GString *bytes = write_request(relay, instance, now_us);
-	char keeper[COMET_VIEW_ADDRESS_MAX];
-	struct comet_exchange_request sending = {
+	GString *bytes = write_request(proxy, instance, now_us);
+	char owner_vm[COMET_IPV4_TEXT_BYTES];
+	struct comet_exchange_request attempt = {
 		.instance = instance->id,
 		.address = instance->address,
 		.bytes = bytes->str,
 		.length = bytes->len,
 		.id_header = gateway->names->request_id,
-		.id = relay->id,
-		.head_only = strcmp(relay->request->head->method, "HEAD") == 0,
-		.new_connection = relay->anywhere,
+		.id = proxy->id,
+		.head_only = strcmp(proxy->request->head->method, "HEAD") == 0,
+		.new_connection = proxy->retry_same_endpoint,
 		.counted = &gateway->bytes[COMET_GATEWAY_USE_ENDPOINTS],
 	};
 
 	comet_log(COMET_LOG_INFO,
 		"event=sent request=%s endpoint=%s load=%u slots=%u candidates=%u with_room=%u "
 		"waited_ms=%" G_GUINT64_FORMAT " expect_first_ms=%" G_GUINT64_FORMAT
-		" view_age_ms=%" G_GUINT64_FORMAT " pace=%.2f attempt=%u after_events=%u keeper=%s",
-		relay->id, instance->id, reason->load, reason->slots, reason->candidates,
+		" view_age_ms=%" G_GUINT64_FORMAT
+		" relative_latency=%.2f attempt=%u after_events=%u owner=%s",
+		proxy->id, instance->id, reason->load, reason->slots, reason->candidates,
 		reason->with_room, reason->waited_us / 1000, reason->first_us / 1000,
-		reason->view_age_us / 1000, instance->pace, relay->attempts + 1,
-		comet_relay_events(relay),
-		item->keeper != 0 ? comet_view_link_text(item->keeper, keeper) : "-");
-	if (relay->attempts == 0)
-		comet_latency_add(
-			&gateway->times[relay->route->kind].waited, now_us - relay->arrived_us);
-	if (relay->attempts == 0)
-		comet_retry_budget_first(gateway->retries, relay->service, now_us);
-	if (relay->resuming)
+		reason->gossip_age_us / 1000, instance->relative_latency, proxy->attempts + 1,
+		comet_proxy_request_events(proxy),
+		item->owner_vm != 0 ? comet_datagram_socket_format_address(item->owner_vm, owner_vm)
+				    : "-");
+	if (proxy->attempts == 0)
+		comet_latency_histogram_add(
+			&gateway->times[proxy->route->kind].waited, now_us - proxy->arrived_us);
+	if (proxy->attempts == 0)
+		comet_retry_budget_record_first_attempt(gateway->retries, proxy->service, now_us);
+	if (proxy->resuming)
 		gateway->counts.resumed++;
 	gateway->counts.dispatched++;
-	relay->attempts++;
-	relay->not_run = false;
-	relay->paused = false;
-	relay->sent_us = now_us;
-	relay->first_us = 0;
-	relay->last_us = 0;
-	relay->body_bytes = 0;
-	relay->first_count = comet_relay_events(relay);
-	relay->instance = talloc_strdup(relay, instance->id);
-	relay->born_ms = instance->born_ms;
-	relay->life = instance->key;
-	g_queue_push_tail(&gateway->sendings, relay);
-	relay->sending = g_queue_peek_tail_link(&gateway->sendings);
-	comet_instance_started(instance, &item->job);
-	relay->exchange = comet_upstream_send(
-		gateway->upstream, relay, &sending, &comet_relay_answer_events, relay);
-	watch_silence(relay, instance, now_us);
+	proxy->attempts++;
+	proxy->not_executed = false;
+	proxy->upstream_paused = false;
+	proxy->sent_us = now_us;
+	proxy->first_byte_us = 0;
+	proxy->last_byte_us = 0;
+	proxy->attempt_body_bytes = 0;
+	proxy->prior_events = comet_proxy_request_events(proxy);
+	proxy->instance_id = talloc_strdup(proxy, instance->id);
+	proxy->process_start_ms = instance->process_start_ms;
+	proxy->incarnation_key = instance->key;
+	g_queue_push_tail(&gateway->active_attempts, proxy);
+	proxy->attempt_link = g_queue_peek_tail_link(&gateway->active_attempts);
+	comet_instance_dispatch_started(instance, &item->size);
+	proxy->exchange = comet_upstream_send(
+		gateway->upstream, proxy, &attempt, &comet_proxy_request_response_events, proxy);
+	start_silence_timer(proxy, instance, now_us);
 	g_string_free(bytes, TRUE);
 }
 
@@ -274,20 +287,21 @@
 on_refuse(void *ctx, struct comet_placement_item *item, uint32_t retry_after_ms)
 {
 	const struct comet_gateway *gateway = ctx;
-	struct comet_relay *relay = item->owner;
+	struct comet_proxy_request *proxy = item->user_data;
 	bool evacuated = comet_placement_is_evacuated(gateway->placement, item);
 
-	if (relay->started)
-		comet_relay_cut(relay, "no_endpoint");
+	if (proxy->response_started)
+		comet_proxy_request_abort(proxy, "no_endpoint");
 	else
-		comet_relay_refuse(relay, evacuated ? "evacuated" : "no_room", retry_after_ms);
+		comet_proxy_request_refuse(
+			proxy, evacuated ? "evacuated" : "no_room", retry_after_ms);
 }
 
 const struct comet_placement_ops comet_gateway_placement_ops = {
 	.dispatch = on_dispatch,
 	.refuse = on_refuse,
-	.keeper = comet_gateway_keeper,
-	.ask = comet_gateway_ask,
-	.forget = comet_gateway_forget_ask,
-	.grant = comet_gateway_grant,
+	.find_owner = comet_gateway_find_shard_owner,
+	.request_slot = comet_gateway_request_slot,
+	.cancel_slot_request = comet_gateway_cancel_slot_request,
+	.grant = comet_gateway_grant_slot,
 };
--- /dev/null
+++ b/libcometspindle/gateway/admission/crash_suspects.h
@@ -0,0 +1,57 @@
+/*
+ * crash_suspects.h
+ * attempts that ended without a response, kept until it is known whether the process crashed
+ *
+ * The end of an attempt may be detected before or after the crash of the process, so both are
+ * remembered for a while. This module uses no sockets and no clock.
+ */
+#ifndef COMETSPINDLE_GATEWAY_CRASH_SUSPECTS_H
+#define COMETSPINDLE_GATEWAY_CRASH_SUSPECTS_H
+
+#include <glib.h>
+#include <libcometspindle/gateway/admission/crash_tracker.h>
+#include <libcometspindle/gateway/admission/fingerprint.h>
+#include <stdbool.h>
+#include <stdint.h>
+
+struct comet_crash_suspects;
+
+struct comet_crash_suspects *
+comet_crash_suspects_create(void *parent);
+
+/** Records an attempt that ended without a response. */
+void
+comet_crash_suspects_add(struct comet_crash_suspects *crash_suspects,
+	const struct comet_crash_attempt *attempt, uint64_t now_us);
+
+/** @return whether a crash of the incarnation was recorded at or after last_seen_us. */
+bool
+comet_crash_suspects_has_crashed(const struct comet_crash_suspects *crash_suspects,
+	uint32_t incarnation_key, uint64_t last_seen_us);
+
+/**
+ * Records that an incarnation has crashed; last_seen_us is when it was last seen alive.
+ * @return the struct comet_fingerprint of each request whose attempt ended with the process, oldest
+ * first. The caller frees the list with g_list_free_full(list, g_free).
+ */
+GList *
+comet_crash_suspects_process_crashed(struct comet_crash_suspects *crash_suspects,
+	uint32_t incarnation_key, uint64_t last_seen_us, uint64_t now_us);
+
+/** Drops the suspects of an incarnation that exited as planned. */
+void
+comet_crash_suspects_forget(struct comet_crash_suspects *crash_suspects, uint32_t incarnation_key);
+
+/** @return the number of recent attempts of a request whose process may have crashed. */
+uint32_t
+comet_crash_suspects_count_request(const struct comet_crash_suspects *crash_suspects,
+	const struct comet_fingerprint *request, uint64_t now_us);
+
+/** Drops expired suspects. */
+void
+comet_crash_suspects_tick(struct comet_crash_suspects *crash_suspects, uint64_t now_us);
+
+uint32_t
+comet_crash_suspects_count(const struct comet_crash_suspects *crash_suspects);
+
+#endif
--- /dev/null
+++ b/libcometspindle/gateway/admission/crash_tracker.c
@@ -0,0 +1,493 @@
+/*
+ * crash_tracker.c
+ * requests that crash endpoint processes, as seen by this VM and by its peers
+ */
+#include <libcometspindle/gateway/admission/crash_tracker.h>
+
+#include <glib.h>
+#include <libcometspindle/gateway/admission/incarnation_set.h>
+#include <libcometspindle/gateway/admission/crash_suspects.h>
+#include <string.h>
+#include <talloc.h>
+
+/* Crashes after which a request is quarantined; the requirement allows three. A lower limit would
+ * reject requests whose endpoints failed twice in a row for unrelated reasons. */
+#define QUARANTINE_CRASHES 3
+
+/* A request that was served within this time is not blamed for a crash: a request that many callers
+ * send is running on any endpoint that fails. An engine that starts to crash under a request it
+ * served before is detected this much later. */
+#define RECENTLY_SERVED_US 30000000
+
+/* Slots of the table of served requests; a power of two. At 20 requests per second it covers three
+ * minutes. */
+#define SERVED_MAX 4096
+
+/* Time after the last crash for which a record is kept. A repaired engine is deployed by then, and
+ * a request that was quarantined by mistake can be served again. */
+#define RECORD_LIFETIME_US 3600000000
+
+/* Records of one team, and of all teams: 4096 records take 0.6 MB. No team evicts the records of
+ * another before 64 teams have reached their limit. */
+#define TEAM_RECORDS_MAX 64
+#define RECORDS_MAX 4096
+
+/* Interval of the search for expired entries; their lifetimes are seconds and longer. */
+#define TICK_US 1000000
+
+/* Time after a change for which a record is sent first in each gossip message: messages are at most
+ * two seconds apart, and one may be lost. */
+#define NEW_RECORD_US 5000000
+
+/* What is known of a request. */
+struct record
+{
+	struct comet_fingerprint request;
+	struct comet_incarnation_set crashed;
+	struct comet_incarnation_set excused; /* crashes that the request did not cause */
+	uint64_t last_crash_us;
+	uint64_t changed_us;
+	bool quarantined;
+};
+
+/* A request that was served. */
+struct served
+{
+	struct comet_fingerprint request;
+	uint64_t at_us; /* 0: the slot is empty */
+};
+
+struct comet_crash_tracker
+{
+	const struct comet_crash_tracker_ops *ops;
+	void *ctx;
+	GHashTable *records; /* fingerprint -> struct record */
+	struct comet_crash_suspects *crash_suspects;
+	uint64_t last_tick_us;
+	uint32_t new_position; /* where the next message continues among the records that are new */
+	uint32_t old_position; /* and among the others */
+	struct served served[SERVED_MAX];
+};
+
+static guint
+hash_fingerprint(gconstpointer key)
+{
+	const struct comet_fingerprint *request = key;
+
+	return (guint)(request->digest ^ request->team);
+}
+
+static gboolean
+equal_fingerprints(gconstpointer a, gconstpointer b)
+{
+	return comet_fingerprint_equal(a, b);
+}
+
+static int
+tracker_destroy(struct comet_crash_tracker *crash_tracker)
+{
+	g_hash_table_destroy(crash_tracker->records);
+	return 0;
+}
+
+struct comet_crash_tracker *
+comet_crash_tracker_create(void *parent, const struct comet_crash_tracker_ops *ops, void *ctx)
+{
+	struct comet_crash_tracker *crash_tracker = talloc_zero(parent, struct comet_crash_tracker);
+
+	crash_tracker->ops = ops;
+	crash_tracker->ctx = ctx;
+	crash_tracker->records =
+		g_hash_table_new_full(hash_fingerprint, equal_fingerprints, NULL, g_free);
+	crash_tracker->crash_suspects = comet_crash_suspects_create(crash_tracker);
+	talloc_set_destructor(crash_tracker, tracker_destroy);
+	return crash_tracker;
+}
+
+static struct record *
+find_record(
+	const struct comet_crash_tracker *crash_tracker, const struct comet_fingerprint *request)
+{
+	return g_hash_table_lookup(crash_tracker->records, request);
+}
+
+/* Crashes that are not excused, before those explained by other requests are subtracted. */
+static uint32_t
+count_crashes(const struct record *record)
+{
+	uint32_t count = 0;
+
+	for (uint32_t i = 0; i < record->crashed.count; i++)
+		count +=
+			comet_incarnation_set_has(&record->excused, record->crashed.incarnations[i])
+				? 0
+				: 1;
+	return count;
+}
+
+/* Returns whether another request, with more crashes than this one, explains a crash. */
+static bool
+is_explained_by_other(
+	const GPtrArray *candidates, const struct record *record, uint32_t incarnation_key)
+{
+	uint32_t crashes = count_crashes(record);
+
+	for (guint i = 0; i < candidates->len; i++)
+	{
+		const struct record *other = candidates->pdata[i];
+		if (other != record && count_crashes(other) > crashes &&
+			comet_incarnation_set_has(&other->crashed, incarnation_key) &&
+			!comet_incarnation_set_has(&other->excused, incarnation_key))
+			return true;
+	}
+	return false;
+}
+
+static uint32_t
+count_unexplained_crashes(const GPtrArray *candidates, const struct record *record)
+{
+	uint32_t count = 0;
+
+	for (uint32_t i = 0; i < record->crashed.count; i++)
+	{
+		uint32_t incarnation_key = record->crashed.incarnations[i];
+		if (!comet_incarnation_set_has(&record->excused, incarnation_key) &&
+			!is_explained_by_other(candidates, record, incarnation_key))
+			count++;
+	}
+	return count;
+}
+
+/* Decides again which requests are quarantined. The result depends on the records alone, so VMs
+ * with the same records agree. If the first request to reach the limit were blamed, a VM that
+ * learned of another request first would blame that one, and both would be released once the VMs
+ * exchanged their records. */
+static void
+update_quarantine(struct comet_crash_tracker *crash_tracker, bool detected_here)
+{
+	GPtrArray *candidates = g_ptr_array_new();
+	GHashTableIter iter;
+	gpointer value = NULL;
+
+	g_hash_table_iter_init(&iter, crash_tracker->records);
+	while (g_hash_table_iter_next(&iter, NULL, &value))
+	{
+		if (count_crashes(value) >= QUARANTINE_CRASHES)
+			g_ptr_array_add(candidates, value);
+	}
+	g_hash_table_iter_init(&iter, crash_tracker->records);
+	while (g_hash_table_iter_next(&iter, NULL, &value))
+	{
+		struct record *record = value;
+		bool quarantined =
+			count_crashes(record) >= QUARANTINE_CRASHES &&
+			count_unexplained_crashes(candidates, record) >= QUARANTINE_CRASHES;
+		if (quarantined == record->quarantined)
+			continue;
+		record->quarantined = quarantined;
+		crash_tracker->ops->on_change(crash_tracker->ctx, &record->request,
+			quarantined ? COMET_CRASH_TRACKER_QUARANTINED
+				    : COMET_CRASH_TRACKER_RELEASED,
+			count_crashes(record), detected_here);
+	}
+	g_ptr_array_free(candidates, TRUE);
+}
+
+/* Returns whether a record is evicted before the other: the one with fewer crashes, then the one
+ * whose last crash is older. */
+static bool
+is_evicted_before(const struct record *one, const struct record *other)
+{
+	if (count_crashes(one) != count_crashes(other))
+		return count_crashes(one) < count_crashes(other);
+	return one->last_crash_us < other->last_crash_us;
+}
+
+/* Evicts a record if there is no space for another: one of the same team if that team has reached
+ * its limit, else one of any team. */
+static void
+evict_if_full(struct comet_crash_tracker *crash_tracker, uint32_t team)
+{
+	struct record *victim = NULL;
+	struct record *team_victim = NULL;
+	uint32_t team_count = 0;
+	GHashTableIter iter;
+	gpointer value = NULL;
+
+	g_hash_table_iter_init(&iter, crash_tracker->records);
+	while (g_hash_table_iter_next(&iter, NULL, &value))
+	{
+		struct record *record = value;
+		if (victim == NULL || is_evicted_before(record, victim))
+			victim = record;
+		if (record->request.team != team)
+			continue;
+		team_count++;
+		if (team_victim == NULL || is_evicted_before(record, team_victim))
+			team_victim = record;
+	}
+	if (team_count >= TEAM_RECORDS_MAX)
+		g_hash_table_remove(crash_tracker->records, &team_victim->request);
+	else if (g_hash_table_size(crash_tracker->records) >= RECORDS_MAX)
+		g_hash_table_remove(crash_tracker->records, &victim->request);
+}
+
+static struct record *
+find_or_add_record(
+	struct comet_crash_tracker *crash_tracker, const struct comet_fingerprint *request)
+{
+	struct record *record = find_record(crash_tracker, request);
+
+	if (record == NULL)
+	{
+		evict_if_full(crash_tracker, request->team);
+		record = g_new0(struct record, 1);
+		record->request = *request;
+		g_hash_table_insert(crash_tracker->records, &record->request, record);
+	}
+	return record;
+}
+
+/* Excuses all crashes of a record. @return whether any of them was not excused before */
+static bool
+excuse_all(struct record *record)
+{
+	bool changed = false;
+
+	for (uint32_t i = 0; i < record->crashed.count; i++)
+		changed = comet_incarnation_set_add(
+				  &record->excused, record->crashed.incarnations[i]) ||
+			  changed;
+	return changed;
+}
+
+static struct served *
+served_slot(struct comet_crash_tracker *crash_tracker, const struct comet_fingerprint *request)
+{
+	return &crash_tracker->served[hash_fingerprint(request) % SERVED_MAX];
+}
+
+static bool
+was_recently_served(struct comet_crash_tracker *crash_tracker,
+	const struct comet_fingerprint *request, uint64_t now_us)
+{
+	const struct served *served = served_slot(crash_tracker, request);
+
+	return served->at_us != 0 && now_us - served->at_us < RECENTLY_SERVED_US &&
+	       comet_fingerprint_equal(&served->request, request);
+}
+
+/* Reports a changed record and updates the quarantine. */
+static void
+apply_change(struct comet_crash_tracker *crash_tracker, struct record *record, bool detected_here,
+	uint64_t now_us)
+{
+	record->changed_us = now_us;
+	if (was_recently_served(crash_tracker, &record->request, now_us) && excuse_all(record))
+		crash_tracker->ops->on_change(
+			crash_tracker->ctx, &record->request, COMET_CRASH_TRACKER_EXCUSED, 0, true);
+	else
+		crash_tracker->ops->on_change(crash_tracker->ctx, &record->request,
+			COMET_CRASH_TRACKER_COUNTED, count_crashes(record), detected_here);
+	update_quarantine(crash_tracker, detected_here);
+}
+
+/* Counts the crash of a process against a request. */
+static void
+add_crash(struct comet_crash_tracker *crash_tracker, const struct comet_fingerprint *request,
+	uint32_t incarnation_key, uint64_t now_us)
+{
+	struct record *record = find_or_add_record(crash_tracker, request);
+
+	if (!comet_incarnation_set_add(&record->crashed, incarnation_key))
+		return;
+	record->last_crash_us = now_us;
+	apply_change(crash_tracker, record, true, now_us);
+}
+
+bool
+comet_crash_tracker_is_quarantined(
+	struct comet_crash_tracker *crash_tracker, const struct comet_fingerprint *request)
+{
+	const struct record *record = find_record(crash_tracker, request);
+
+	return record != NULL && record->quarantined;
+}
+
+bool
+comet_crash_tracker_is_undecided(struct comet_crash_tracker *crash_tracker,
+	const struct comet_fingerprint *request, uint64_t now_us)
+{
+	const struct record *record = find_record(crash_tracker, request);
+	uint32_t count = record != NULL ? count_crashes(record) : 0;
+
+	if (count == 0)
+		return false;
+	return count + comet_crash_suspects_count_request(
+			       crash_tracker->crash_suspects, request, now_us) >=
+	       QUARANTINE_CRASHES;
+}
+
+void
+comet_crash_tracker_add_suspect(struct comet_crash_tracker *crash_tracker,
+	const struct comet_crash_attempt *attempt, uint64_t now_us)
+{
+	if (comet_crash_suspects_has_crashed(
+		    crash_tracker->crash_suspects, attempt->incarnation_key, attempt->last_seen_us))
+		add_crash(crash_tracker, &attempt->request, attempt->incarnation_key, now_us);
+	else
+		comet_crash_suspects_add(crash_tracker->crash_suspects, attempt, now_us);
+}
+
+void
+comet_crash_tracker_process_crashed(struct comet_crash_tracker *crash_tracker,
+	uint32_t incarnation_key, uint64_t last_seen_us, uint64_t now_us)
+{
+	GList *requests = comet_crash_suspects_process_crashed(
+		crash_tracker->crash_suspects, incarnation_key, last_seen_us, now_us);
+
+	for (GList *link = requests; link != NULL; link = link->next)
+		add_crash(crash_tracker, link->data, incarnation_key, now_us);
+	g_list_free_full(requests, g_free);
+}
+
+void
+comet_crash_tracker_process_exited(
+	struct comet_crash_tracker *crash_tracker, uint32_t incarnation_key)
+{
+	comet_crash_suspects_forget(crash_tracker->crash_suspects, incarnation_key);
+}
+
+void
+comet_crash_tracker_mark_served(struct comet_crash_tracker *crash_tracker,
+	const struct comet_fingerprint *request, uint64_t now_us)
+{
+	struct record *record = find_record(crash_tracker, request);
+
+	*served_slot(crash_tracker, request) =
+		(struct served){.request = *request, .at_us = now_us};
+	if (record == NULL || !excuse_all(record))
+		return;
+	record->changed_us = now_us;
+	crash_tracker->ops->on_change(
+		crash_tracker->ctx, request, COMET_CRASH_TRACKER_EXCUSED, 0, true);
+	update_quarantine(crash_tracker, true);
+}
+
+void
+comet_crash_tracker_tick(struct comet_crash_tracker *crash_tracker, uint64_t now_us)
+{
+	GHashTableIter iter;
+	gpointer value = NULL;
+
+	if (now_us - crash_tracker->last_tick_us < TICK_US)
+		return;
+	crash_tracker->last_tick_us = now_us;
+	comet_crash_suspects_tick(crash_tracker->crash_suspects, now_us);
+	g_hash_table_iter_init(&iter, crash_tracker->records);
+	while (g_hash_table_iter_next(&iter, NULL, &value))
+	{
+		const struct record *record = value;
+		if (now_us - record->last_crash_us > RECORD_LIFETIME_US)
+			g_hash_table_iter_remove(&iter);
+	}
+}
+
+static void
+encode_set(const struct comet_incarnation_set *set, uint32_t *lives, pb_size_t *count)
+{
+	memcpy(lives, set->incarnations, set->count * sizeof set->incarnations[0]);
+	*count = (pb_size_t)set->count;
+}
+
+static void
+encode_record(const struct record *record, comet_Crashed *out, uint64_t now_us)
+{
+	memset(out, 0, sizeof *out);
+	out->digest = record->request.digest;
+	out->team = record->request.team;
+	encode_set(&record->crashed, out->lives, &out->lives_count);
+	encode_set(&record->excused, out->excused, &out->excused_count);
+	out->age_ms = (uint32_t)((now_us - record->last_crash_us) / 1000);
+}
+
+static bool
+is_new(const struct record *record, uint64_t now_us)
+{
+	return now_us - record->changed_us < NEW_RECORD_US;
+}
+
+/* Encodes records that are new, or the others. Each call continues where the last one stopped, so
+ * that a team whose requests crash many endpoints does not delay the records of other teams. */
+static size_t
+encode_some(struct comet_crash_tracker *crash_tracker, comet_Crashed *records, size_t max_records,
+	bool only_new, uint64_t now_us)
+{
+	uint32_t *position = only_new ? &crash_tracker->new_position : &crash_tracker->old_position;
+	size_t count = 0;
+	uint32_t index = 0;
+	GHashTableIter iter;
+	gpointer value = NULL;
+
+	g_hash_table_iter_init(&iter, crash_tracker->records);
+	while (count < max_records && g_hash_table_iter_next(&iter, NULL, &value))
+	{
+		const struct record *record = value;
+		if (is_new(record, now_us) == only_new && index++ >= *position)
+			encode_record(record, &records[count++], now_us);
+	}
+	*position = count < max_records ? 0 : index;
+	return count;
+}
+
+size_t
+comet_crash_tracker_encode(struct comet_crash_tracker *crash_tracker, comet_Crashed *records,
+	size_t max_records, uint64_t now_us)
+{
+	size_t count = encode_some(crash_tracker, records, max_records - 1, true, now_us);
+
+	return count +
+	       encode_some(crash_tracker, records + count, max_records - count, false, now_us);
+}
+
+void
+comet_crash_tracker_merge(
+	struct comet_crash_tracker *crash_tracker, const comet_Crashed *reported, uint64_t now_us)
+{
+	const struct comet_fingerprint request = {
+		.digest = reported->digest, .team = reported->team};
+	uint64_t age_us = (uint64_t)reported->age_ms * 1000;
+	bool changed = false;
+
+	if (reported->lives_count == 0 || age_us > RECORD_LIFETIME_US)
+		return;
+	struct record *record = find_or_add_record(crash_tracker, &request);
+	for (pb_size_t i = 0; i < reported->lives_count; i++)
+		changed =
+			comet_incarnation_set_add(&record->crashed, reported->lives[i]) || changed;
+	for (pb_size_t i = 0; i < reported->excused_count; i++)
+		changed = comet_incarnation_set_add(&record->excused, reported->excused[i]) ||
+			  changed;
+	/* The time of the last crash stays unchanged as well: peers that report the record to each
+	 * other would make it younger each time. */
+	if (!changed)
+		return;
+	record->last_crash_us = MAX(record->last_crash_us, now_us - MIN(age_us, now_us));
+	apply_change(crash_tracker, record, false, now_us);
+}
+
+struct comet_crash_tracker_counts
+comet_crash_tracker_count(const struct comet_crash_tracker *crash_tracker)
+{
+	struct comet_crash_tracker_counts counts = {
+		.records = g_hash_table_size(crash_tracker->records),
+		.crash_suspects = comet_crash_suspects_count(crash_tracker->crash_suspects),
+	};
+	GHashTableIter iter;
+	gpointer value = NULL;
+
+	g_hash_table_iter_init(&iter, crash_tracker->records);
+	while (g_hash_table_iter_next(&iter, NULL, &value))
+		counts.quarantined += ((const struct record *)value)->quarantined ? 1 : 0;
+	return counts;
+}
--- a/libcometspindle/gateway/endpoints/instances.c
+++ b/libcometspindle/gateway/endpoints/instances.c
@@ -1,28 +1,29 @@
 /*
  * instances.c
- * the endpoints that this VM knows of, as the directory tells of them
+ * the endpoints that this VM knows, as listed by the directory
  */
 #include <libcometspindle/gateway/endpoints/instances.h>
 
-#include <libcometspindle/gateway/endpoints/speeds.h>
+#include <libcometspindle/gateway/endpoints/latency_model.h>
 #include <libcometspindle/hash.h>
 #include <string.h>
 #include <talloc.h>
 
-/* What is unlisted after an outage gets no more work so long before the directory's word is whole
- * again, however late the first answer came: it may have left since, and what leaves must get
- * nothing from then on. */
+/* An endpoint that is missing from the directory after an outage receives no requests from this
+ * long before the directory is complete again, however late the first response of the directory
+ * arrived. The endpoint may have left, and must then receive nothing once the directory is
+ * complete. */
 #define SETTLED_MARGIN_US 200000
 
 struct comet_instances
 {
 	char *own_zone;
-	GHashTable *by_id;     /* id -> comet_instance */
-	GHashTable *by_key;    /* key -> comet_instance */
-	GHashTable *services;  /* service -> GPtrArray of comet_instance */
-	GHashTable *speeds;    /* service -> struct comet_speeds */
-	GHashTable *starts;    /* service -> struct comet_slow_start_bounds */
-	GHashTable *evacuated; /* zones, as a set */
+	GHashTable *by_id;              /* id -> comet_instance */
+	GHashTable *by_key;             /* key -> comet_instance */
+	GHashTable *services;           /* service -> GPtrArray of comet_instance */
+	GHashTable *latency_models;     /* service -> struct comet_latency_model */
+	GHashTable *slow_start_configs; /* service -> struct comet_slow_start_config */
+	GHashTable *evacuated_zones;    /* set of zone names */
 	uint64_t changes;
 };
 
@@ -38,9 +39,9 @@
 	g_hash_table_destroy(instances->by_id);
 	g_hash_table_destroy(instances->by_key);
 	g_hash_table_destroy(instances->services);
-	g_hash_table_destroy(instances->speeds);
-	g_hash_table_destroy(instances->starts);
-	g_hash_table_destroy(instances->evacuated);
+	g_hash_table_destroy(instances->latency_models);
+	g_hash_table_destroy(instances->slow_start_configs);
+	g_hash_table_destroy(instances->evacuated_zones);
 	return 0;
 }
 
@@ -53,60 +54,64 @@
 	instances->by_id = g_hash_table_new(g_str_hash, g_str_equal);
 	instances->by_key = g_hash_table_new(NULL, NULL);
 	instances->services = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_array);
-	instances->speeds = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	instances->starts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	instances->evacuated = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	instances->latency_models = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	instances->slow_start_configs =
+		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	instances->evacuated_zones = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	talloc_set_destructor(instances, instances_destroy);
 	return instances;
 }
 
-static struct comet_speeds *
-speeds_of(struct comet_instances *instances, const char *service)
+static struct comet_latency_model *
+latency_model_of(struct comet_instances *instances, const char *service)
 {
-	struct comet_speeds *speeds = g_hash_table_lookup(instances->speeds, service);
+	struct comet_latency_model *latency_model =
+		g_hash_table_lookup(instances->latency_models, service);
 
-	if (speeds == NULL)
+	if (latency_model == NULL)
 	{
-		speeds = comet_speeds_create(instances);
-		g_hash_table_insert(instances->speeds, g_strdup(service), speeds);
+		latency_model = comet_latency_model_create(instances);
+		g_hash_table_insert(instances->latency_models, g_strdup(service), latency_model);
 	}
-	return speeds;
+	return latency_model;
 }
 
-/* The bounds of a service; they stay where they are, since instances point there. */
-static struct comet_slow_start_bounds *
-start_bounds_of(struct comet_instances *instances, const char *service)
+/* Returns the slow start settings of a service. Instances hold pointers to them, so that they are
+ * updated in place. */
+static struct comet_slow_start_config *
+slow_start_config_of(struct comet_instances *instances, const char *service)
 {
-	struct comet_slow_start_bounds *bounds = g_hash_table_lookup(instances->starts, service);
+	struct comet_slow_start_config *config =
+		g_hash_table_lookup(instances->slow_start_configs, service);
 
-	if (bounds == NULL)
+	if (config == NULL)
 	{
-		bounds = g_new0(struct comet_slow_start_bounds, 1);
-		g_hash_table_insert(instances->starts, g_strdup(service), bounds);
+		config = g_new0(struct comet_slow_start_config, 1);
+		g_hash_table_insert(instances->slow_start_configs, g_strdup(service), config);
 	}
-	return bounds;
+	return config;
 }
 
 void
 comet_instances_set_slow_start(struct comet_instances *instances, const char *service,
-	const struct comet_slow_start_bounds *bounds)
+	const struct comet_slow_start_config *config)
 {
-	*start_bounds_of(instances, service) = *bounds;
+	*slow_start_config_of(instances, service) = *config;
 }
 
 static struct comet_instance *
-add(struct comet_instances *instances, const struct comet_instance_record *record)
+add_instance(struct comet_instances *instances, const struct comet_instance_record *record)
 {
 	struct comet_instance *instance = talloc_zero(instances, struct comet_instance);
 
 	instance->id = talloc_strdup(instance, record->id);
-	instance->born_ms = record->born_ms;
-	instance->key = comet_instance_key(record->id, record->born_ms);
-	instance->place = comet_hash_name(record->id);
+	instance->process_start_ms = record->process_start_ms;
+	instance->key = comet_instance_key(record->id, record->process_start_ms);
+	instance->id_hash = comet_hash_name(record->id);
 	instance->service = talloc_strdup(instance, record->service);
-	instance->speeds = speeds_of(instances, record->service);
-	instance->start_bounds = start_bounds_of(instances, record->service);
-	instance->pace = 1.0;
+	instance->latency_model = latency_model_of(instances, record->service);
+	instance->slow_start_config = slow_start_config_of(instances, record->service);
+	instance->relative_latency = 1.0;
 	instances->changes++;
 	g_hash_table_insert(instances->by_id, instance->id, instance);
 	g_hash_table_insert(instances->by_key, GUINT_TO_POINTER(instance->key), instance);
@@ -120,66 +125,68 @@
 	return instance;
 }
 
-/* Replaces a text of an instance. @return whether it was another one */
+/* Replaces a string of an instance. @return whether it differed. */
 static bool
-set_text(struct comet_instance *instance, char **text, const char *now)
+set_string(struct comet_instance *instance, char **string, const char *value)
 {
-	if (*text != NULL && strcmp(*text, now) == 0)
+	if (*string != NULL && strcmp(*string, value) == 0)
 		return false;
-	talloc_free(*text);
-	*text = talloc_strdup(instance, now);
+	talloc_free(*string);
+	*string = talloc_strdup(instance, value);
 	return true;
 }
 
 struct comet_instance *
-comet_instances_put(struct comet_instances *instances, const struct comet_instance_record *record,
-	uint64_t now_us)
+comet_instances_update(struct comet_instances *instances,
+	const struct comet_instance_record *record, uint64_t now_us)
 {
 	struct comet_instance *instance = comet_instances_find(instances, record->id);
 
-	if (instance != NULL && (instance->born_ms != record->born_ms ||
+	if (instance != NULL && (instance->process_start_ms != record->process_start_ms ||
 					strcmp(instance->service, record->service) != 0))
 	{
 		comet_instances_remove(instances, record->id);
 		instance = NULL;
 	}
 	if (instance == NULL)
-		instance = add(instances, record);
-	if (set_text(instance, &instance->address, record->address))
+		instance = add_instance(instances, record);
+	if (set_string(instance, &instance->address, record->address))
 		instance->replaced = false;
-	if (set_text(instance, &instance->zone, record->zone))
+	if (set_string(instance, &instance->zone, record->zone))
 		instances->changes++;
 	instance->near = strcmp(instance->zone, instances->own_zone) == 0;
 	instance->slots = record->slots > 0 ? record->slots : 1;
 	instance->draining = record->draining;
-	instance->evacuated = g_hash_table_contains(instances->evacuated, instance->zone);
-	instance->warm_us =
+	instance->evacuated = g_hash_table_contains(instances->evacuated_zones, instance->zone);
+	instance->warm_until_us =
 		record->warm_up_ms > 0 ? now_us + (uint64_t)record->warm_up_ms * 1000 : 0;
 	if (!instance->listed)
-		comet_instance_may_be_cold(instance, now_us);
-	comet_slow_start_told(&instance->start, instance->warm_us);
+		comet_instance_begin_slow_start(instance, now_us);
+	comet_slow_start_set_until(&instance->slow_start, instance->warm_until_us);
 	instance->listed = true;
-	instance->lapse_us = 0;
+	instance->expire_us = 0;
 	return instance;
 }
 
-/* Entries may name any service: of one that nobody used nothing stays with its last instance. */
+/* Drops the state of a service that has no instances, unless something was learned or configured
+ * for it. Entries may name any service, and their state would accumulate. */
 static void
-forget_if_unused(struct comet_instances *instances, const char *service)
+drop_unused_service(struct comet_instances *instances, const char *service)
 {
-	struct comet_speeds *speeds = g_hash_table_lookup(instances->speeds, service);
+	struct comet_latency_model *latency_model =
+		g_hash_table_lookup(instances->latency_models, service);
 
-	if (comet_instances_of(instances, service) != NULL)
+	if (comet_instances_for_service(instances, service) != NULL)
 		return;
-	if (speeds != NULL && !comet_speeds_learned(speeds))
+	if (latency_model != NULL && !comet_latency_model_learned(latency_model))
 	{
-		g_hash_table_remove(instances->speeds, service);
-		talloc_free(speeds);
+		g_hash_table_remove(instances->latency_models, service);
+		talloc_free(latency_model);
 	}
-	const struct comet_slow_start_bounds *bounds =
-		g_hash_table_lookup(instances->starts, service);
-	if (bounds != NULL && bounds->cold_us == 0)
-		g_hash_table_remove(instances->starts, service);
+	const struct comet_slow_start_config *config =
+		g_hash_table_lookup(instances->slow_start_configs, service);
+	if (config != NULL && config->cold_us == 0)
+		g_hash_table_remove(instances->slow_start_configs, service);
 	g_hash_table_remove(instances->services, service);
 }
 
@@ -194,16 +201,17 @@
 	GPtrArray *array = g_hash_table_lookup(instances->services, instance->service);
 	g_ptr_array_remove(array, instance);
 	g_hash_table_remove(instances->by_id, instance->id);
-	/* another of equal hash stays */
+	/* Another instance may have the same key and stays in the table. */
 	if (comet_instances_find_key(instances, instance->key) == instance)
 		g_hash_table_remove(instances->by_key, GUINT_TO_POINTER(instance->key));
-	forget_if_unused(instances, instance->service);
+	drop_unused_service(instances, instance->service);
 	talloc_free(instance);
 }
 
-/* Marks the instances of a zone. */
+/* Sets the evacuated flag of all instances of a zone. */
 static void
-mark_evacuated(struct comet_instances *instances, const char *zone, bool evacuated, uint64_t now_us)
+set_zone_evacuated(
+	struct comet_instances *instances, const char *zone, bool evacuated, uint64_t now_us)
 {
 	GHashTableIter at;
 	gpointer value = NULL;
@@ -216,29 +224,29 @@
 			continue;
 		instance->evacuated = evacuated;
 		if (!evacuated)
-			comet_instance_may_be_cold(instance, now_us);
+			comet_instance_begin_slow_start(instance, now_us);
 	}
 }
 
 void
 comet_instances_evacuate(struct comet_instances *instances, const char *zone)
 {
-	g_hash_table_add(instances->evacuated, g_strdup(zone));
-	mark_evacuated(instances, zone, true, 0);
+	g_hash_table_add(instances->evacuated_zones, g_strdup(zone));
+	set_zone_evacuated(instances, zone, true, 0);
 }
 
 void
 comet_instances_restore(struct comet_instances *instances, const char *zone, uint64_t now_us)
 {
-	mark_evacuated(instances, zone, false, now_us);
-	g_hash_table_remove(instances->evacuated, zone);
+	set_zone_evacuated(instances, zone, false, now_us);
+	g_hash_table_remove(instances->evacuated_zones, zone);
 }
 
 bool
 comet_instances_all_evacuated(struct comet_instances *instances, const char *service)
 {
-	const GPtrArray *all = comet_instances_of(instances, service);
-	bool any = false;
+	const GPtrArray *all = comet_instances_for_service(instances, service);
+	bool any_usable = false;
 
 	for (guint i = 0; all != NULL && i < all->len; i++)
 	{
@@ -247,23 +255,24 @@
 			continue;
 		if (!instance->evacuated)
 			return false;
-		any = true;
+		any_usable = true;
 	}
-	return any;
+	return any_usable;
 }
 
 bool
-comet_instances_lapse(struct comet_instances *instances, const char *id, uint64_t out_us,
-	const struct comet_lapse_bounds *bounds, uint64_t now_us)
+comet_instances_schedule_expiry(struct comet_instances *instances, const char *id,
+	uint64_t outage_us, const struct comet_expiry_config *config, uint64_t now_us)
 {
 	struct comet_instance *instance = comet_instances_find(instances, id);
-	uint64_t last_us = out_us + bounds->settled_us - MIN(bounds->settled_us, SETTLED_MARGIN_US);
-	uint64_t until_us = MIN(now_us + bounds->usual_us, last_us);
+	uint64_t last_us =
+		outage_us + config->settled_us - MIN(config->settled_us, SETTLED_MARGIN_US);
+	uint64_t until_us = MIN(now_us + config->expiry_us, last_us);
 
 	if (instance == NULL || until_us <= now_us)
 		return false;
 	instance->listed = false;
-	instance->lapse_us = until_us;
+	instance->expire_us = until_us;
 	return true;
 }
 
@@ -276,7 +285,7 @@
 	for (GList *at = all; at != NULL; at = at->next)
 	{
 		struct comet_instance *instance = at->data;
-		if (instance->lapse_us == 0 || instance->lapse_us > now_us)
+		if (instance->expire_us == 0 || instance->expire_us > now_us)
 			continue;
 		dropped(ctx, instance->id);
 		comet_instances_remove(instances, instance->id);
@@ -297,7 +306,7 @@
 }
 
 const GPtrArray *
-comet_instances_of(struct comet_instances *instances, const char *service)
+comet_instances_for_service(struct comet_instances *instances, const char *service)
 {
 	const GPtrArray *array = g_hash_table_lookup(instances->services, service);
 
@@ -317,30 +326,32 @@
 }
 
 size_t
-comet_instances_services(const struct comet_instances *instances)
+comet_instances_service_count(const struct comet_instances *instances)
 {
-	return MAX(g_hash_table_size(instances->services), g_hash_table_size(instances->speeds));
+	return MAX(g_hash_table_size(instances->services),
+		g_hash_table_size(instances->latency_models));
 }
 
 uint64_t
-comet_instances_changes(const struct comet_instances *instances)
+comet_instances_change_count(const struct comet_instances *instances)
 {
 	return instances->changes;
 }
 
 uint64_t
-comet_instances_usual_first_us(
-	struct comet_instances *instances, const char *service, const struct comet_job *job)
+comet_instances_typical_first_us(struct comet_instances *instances, const char *service,
+	const struct comet_request_size *size)
 {
-	const struct comet_speeds *speeds = speeds_of(instances, service);
+	const struct comet_latency_model *latency_model = latency_model_of(instances, service);
 
-	if (!job->stream)
-		return (uint64_t)comet_speeds_mean_us(speeds, COMET_SPEED_PLAIN);
-	return (uint64_t)comet_speeds_first_us(speeds, job->prompt_tokens);
+	if (!size->stream)
+		return (uint64_t)comet_latency_model_mean_us(
+			latency_model, COMET_LATENCY_KIND_PLAIN);
+	return (uint64_t)comet_latency_model_first_us(latency_model, size->prompt_tokens);
 }
 
 uint64_t
-comet_instances_usual_us(struct comet_instances *instances, const char *service)
+comet_instances_typical_slot_us(struct comet_instances *instances, const char *service)
 {
-	return (uint64_t)comet_speeds_slot_us(speeds_of(instances, service));
+	return (uint64_t)comet_latency_model_slot_us(latency_model_of(instances, service));
 }
--- a/libcometspindle/membership.h
+++ b/libcometspindle/membership.h
@@ -44,11 +44,11 @@
 	bool listed;
 	enum comet_member_state state;
 	uint64_t incarnation;
-	uint64_t heard_us;     /**< last direct word from it; 0: never */
+	uint64_t last_seen_us; /**< last direct word from it; 0: never */
 	uint64_t ping_sent_us; /**< unanswered probe; 0: none */
 	uint64_t suspect_us;   /**< since when it is suspect */
 	uint64_t bundle_version;
-	/* its floor promises, counted from when our ping left (see floor.h) */
+	/* floor promises of the listed VM, counted from when our ping was sent */
 	uint32_t keep_below;
 	uint32_t shed_from;
 	uint32_t want_floor;
--- a/tests/unit/placement_fixture.h
+++ b/tests/unit/placement_fixture.h
@@ -1,6 +1,7 @@
 /*
  * placement_fixture.h
- * a placement over endpoints of one service, under virtual time
+ * Test fixture with a placement over the endpoints of one service, under
+ * virtual time.
  */
 #ifndef COMETSPINDLE_TESTS_PLACEMENT_FIXTURE_H
 #define COMETSPINDLE_TESTS_PLACEMENT_FIXTURE_H
@@ -17,29 +18,29 @@
 #include <talloc.h>
 #include <vector>
 
-struct sent
+struct dispatch_record
 {
 	std::string instance;
 	comet_placement_item *item;
 };
 
-/* A placement with one service of two-slot instances. */
+/* Fixture with one service, "llm", whose instances have two slots each. */
 class PlacementTest : public ::testing::Test
 {
       public:
 	comet_instances *instances = nullptr;
 	comet_placement *placement = nullptr;
-	std::vector<sent> dispatched;
+	std::vector<dispatch_record> dispatched;
 	std::vector<std::pair<comet_placement_item *, uint32_t>> refused;
 	uint64_t now_us = 1000000;
-	std::vector<std::unique_ptr<comet_placement_item>> later;
+	std::vector<std::unique_ptr<comet_placement_item>> owned_items;
 
       protected:
 	static void
 	on_dispatch(void *ctx, comet_placement_item *item, comet_instance *instance)
 	{
 		auto *test = static_cast<PlacementTest *>(ctx);
-		comet_instance_started(instance, &item->job);
+		comet_instance_dispatch_started(instance, &item->size);
 		test->dispatched.push_back({instance->id, item});
 	}
 
@@ -80,7 +81,7 @@
 	add(const char *id, const char *zone = "z1", bool draining = false)
 	{
 		comet_instance_record record = {id, "llm", "127.0.0.1:1", zone, 2, 0, draining, 0};
-		return comet_instances_put(instances, &record, now_us);
+		return comet_instances_update(instances, &record, now_us);
 	}
 
 	comet_placement_item
@@ -88,18 +89,19 @@
 	{
 		comet_placement_item item = {};
 		item.service = "llm";
-		item.job = {1000, 100, 100, true};
+		item.size = {1000, 100, 100, true};
 		item.route_rank = rank;
-		item.latest_us = now_us + 2000000;
-		item.early_us = now_us + 100000;
+		item.dispatch_deadline_us = now_us + 2000000;
+		item.early_refusal_us = now_us + 100000;
 		return item;
 	}
 
 	void
-	end(const sent &one, comet_dispatch_result result)
+	end(const dispatch_record &one, comet_dispatch_result result)
 	{
 		comet_instance *instance = comet_instances_find(instances, one.instance.c_str());
-		comet_instance_ended(instance, &one.item->job, false, result, 0, 0, now_us);
+		comet_instance_dispatch_ended(
+			instance, &one.item->size, false, result, 0, 0, now_us);
 	}
 };
 
